--- a/libraries/base/event_log.h
+++ b/libraries/base/event_log.h
@@ -11,11 +11,11 @@
 namespace bramleytrack {
 
 enum class log_kind : std::uint8_t {
-    opening,   // an opening packet was placed, refused or dropped
-    delivery,  // a later packet was refused or dropped
-    answer,    // a target answered late or left something unanswered
-    belief,    // what the process believes has changed
-    lifecycle  // start, stop, reload, a dependency lost or regained
+    opening,       // an opening packet was placed, refused or dropped
+    delivery,      // a later packet was refused or dropped
+    answer,        // a target answered late or left something unanswered
+    state_change,  // what the process believes has changed
+    lifecycle      // start, stop, reload, a dependency lost or regained
 };
 constexpr std::size_t log_kinds = 5;
 
--- a/libraries/configuration/incoming_transfer.h
+++ b/libraries/configuration/incoming_transfer.h
@@ -26,7 +26,7 @@
     std::uint64_t digest() const { return digest_; }
     std::int64_t transfer() const { return transfer_; }
     clock::time_point last_progress() const { return last_progress_; }
-    void note_asked(clock::time_point now) { last_progress_ = now; }
+    void note_attempt(clock::time_point now) { last_progress_ = now; }
 
     // Returns false for a part that doesn't fit what is here.
     bool add(const wire::configuration_part& part, clock::time_point now);
--- a/libraries/discovery/directory.cpp
+++ b/libraries/discovery/directory.cpp
@@ -27,7 +27,7 @@
     return token == 0 ? 1 : token;
 }
 
-change directory::apply(const record& subject, std::int64_t revision, bool is_store_suspect,
+change directory::apply(const record& subject, std::int64_t revision, bool had_recent_store_outage,
                         clock::time_point now) {
     if (const auto* text = std::get_if<catalogue>(&subject)) {
         return take(*text, now);
@@ -36,7 +36,7 @@
         return take(*entry, revision, now);
     }
     if (const auto* removed = std::get_if<target_removed>(&subject)) {
-        return remove_target(removed->id, revision, is_store_suspect, now);
+        return remove_target(removed->id, revision, had_recent_store_outage, now);
     }
     if (const auto* zone = std::get_if<zone_out>(&subject)) {
         const bool is_changed =
@@ -57,7 +57,7 @@
     }
     if (const auto* garbled = std::get_if<unreadable>(&subject)) {
         // An entry that can't be read names no target, whatever stood there before.
-        remove_target(garbled->target_id, revision, is_store_suspect, now);
+        remove_target(garbled->target_id, revision, had_recent_store_outage, now);
         return change::refused;
     }
     return change::none;
@@ -168,8 +168,8 @@
     return change::applied;
 }
 
-change directory::remove_target(std::string_view id, std::int64_t revision, bool is_store_suspect,
-                                clock::time_point now) {
+change directory::remove_target(std::string_view id, std::int64_t revision,
+                                bool had_recent_store_outage, clock::time_point now) {
     const auto found = targets_.find(id);
     if (found == targets_.end() || !found->second->is_listed()) {
         return change::none;
@@ -179,7 +179,7 @@
     known.gone = has_drained ? absence::left : absence::vanished;
     known.changed_at = now;
     known.revision = revision;
-    if (is_store_suspect && !has_drained) {
+    if (had_recent_store_outage && !has_drained) {
         known.presumed_alive_until = now + limits_.return_grace;
     }
     presume_alive_if_many(known.entry.service, now);
--- a/libraries/discovery/directory.h
+++ b/libraries/discovery/directory.h
@@ -42,7 +42,7 @@
     // Entries that lapsed together are removed within one heartbeat of the targets.
     clock::duration joint_removal{1'500};
     // An instance that is cut off from all doesn't hear that its entry went; it notices the cut
-    // within two seconds (source_limits::isolation), and a tick later.
+    // within two seconds (update_source_limits::isolation), and a tick later.
     clock::duration departure_memory{2'500};
     // A stranger could list any number of targets; 4,700 are planned for.
     std::size_t max_targets = 20'000;
@@ -56,8 +56,9 @@
 
     void set_flow_lifetime(clock::duration lifetime) { limits_.flow_lifetime = lifetime; }
 
-    // `is_store_suspect` says that the store was away within the grace: removals may be lapses.
-    change apply(const record& subject, std::int64_t revision, bool is_store_suspect,
+    // `had_recent_store_outage` says that the store was away within the grace: removals may be
+    // lapses.
+    change apply(const record& subject, std::int64_t revision, bool had_recent_store_outage,
                  clock::time_point now);
     // Forgets targets that have been gone for longer than a flow lives, and peers that left.
     void expire(clock::time_point now);
@@ -83,7 +84,7 @@
 private:
     change take(const catalogue& offered, clock::time_point now);
     change take(const target_entry& offered, std::int64_t revision, clock::time_point now);
-    change remove_target(std::string_view id, std::int64_t revision, bool is_store_suspect,
+    change remove_target(std::string_view id, std::int64_t revision, bool had_recent_store_outage,
                          clock::time_point now);
     void presume_alive_if_many(const std::string& service, clock::time_point now);
     void settle_token(routing_token token);
--- a/libraries/discovery/records.h
+++ b/libraries/discovery/records.h
@@ -113,7 +113,7 @@
     virtual record read(std::string_view key, std::string_view value) const = 0;
     virtual record read_removal(std::string_view key) const = 0;
     // Whether a value of this size under this key can be anything but unreadable or unrelated.
-    virtual bool is_of_use(std::string_view key, std::size_t size) const = 0;
+    virtual bool is_relevant(std::string_view key, std::size_t size) const = 0;
 };
 
 }  // namespace bramleytrack::discovery
--- a/libraries/distribution/spread.cpp
+++ b/libraries/distribution/spread.cpp
@@ -75,7 +75,7 @@
             return;
         }
         if (is_same) {
-            incoming_->note_asked(now);
+            incoming_->note_attempt(now);
             ask(incoming_->first_missing());
             return;
         }
--- a/libraries/fleet/peer_digests.cpp
+++ b/libraries/fleet/peer_digests.cpp
@@ -41,18 +41,18 @@
     if (sender == self_) {
         return;
     }
-    auto& entry = heard_[std::string{sender}];
+    auto& entry = received_[std::string{sender}];
     entry.confirmed = content.confirmed_ms_ago < 0
                           ? clock::time_point{}
                           : now - clock::duration{content.confirmed_ms_ago};
     store_missed_at_ = content.has_lost_store ? now : store_missed_at_;
     entry.content = std::move(content);
     entry.at = now;
-    heard_at_ = now;
+    last_received_at_ = now;
 }
 
 void peer_digests::expire(clock::time_point now) {
-    std::erase_if(heard_, [now](const auto& each) { return now - each.second.at > memory; });
+    std::erase_if(received_, [now](const auto& each) { return now - each.second.at > memory; });
 }
 
 std::vector<const discovery::peer_entry*> peer_digests::next_receivers() {
@@ -89,15 +89,15 @@
     }
 }
 
-std::vector<wire::load_report> peer_digests::loads_of(const steering::flow_watch& flows) const {
+std::vector<wire::load_report> peer_digests::loads_of(const steering::flow_tracker& flows) const {
     std::vector<wire::load_report> result;
-    for (const auto& [token, signs] : flows.all_signs()) {
-        if (signs.open_requests <= 0) {
+    for (const auto& [token, health] : flows.all_target_health()) {
+        if (health.open_requests <= 0) {
             continue;
         }
         auto& report = result.emplace_back();
         report.token = static_cast<std::int32_t>(token);
-        report.open_requests = signs.open_requests;
+        report.open_requests = health.open_requests;
     }
     std::ranges::sort(result, std::greater{}, &wire::load_report::open_requests);
     if (result.size() > limits_.max_loads) {
@@ -107,13 +107,13 @@
 }
 
 std::vector<wire::demand_report> peer_digests::demands_of(
-    const steering::demand_by_service& demands, const steering::flow_watch& flows,
+    const steering::demand_by_service& demands, const steering::flow_tracker& flows,
     clock::time_point now) const {
     std::map<std::string_view, int> open;
-    for (const auto& [token, signs] : flows.all_signs()) {
-        const auto* target = signs.open_requests > 0 ? known_.find_target(token) : nullptr;
+    for (const auto& [token, health] : flows.all_target_health()) {
+        const auto* target = health.open_requests > 0 ? known_.find_target(token) : nullptr;
         if (target != nullptr) {
-            open[target->entry.service] += signs.open_requests;
+            open[target->entry.service] += health.open_requests;
         }
     }
     std::vector<wire::demand_report> result;
@@ -143,7 +143,7 @@
     // In a large fleet only some peers are heard at a time: they stand for the others of their
     // zone.
     const auto weights = weights_by_zone(now);
-    for (const auto& [name, entry] : heard_) {
+    for (const auto& [name, entry] : received_) {
         if (!is_fresh(entry, now)) {
             continue;
         }
@@ -172,7 +172,7 @@
 
 std::map<std::string_view, double> peer_digests::weights_by_zone(clock::time_point now) const {
     std::map<std::string_view, double> fresh;
-    for (const auto& [name, entry] : heard_) {
+    for (const auto& [name, entry] : received_) {
         if (is_fresh(entry, now)) {
             ++fresh[zone_of(name)];
         }
@@ -191,7 +191,7 @@
     return weights;
 }
 
-double peer_digests::open_elsewhere(steering::routing_token token, clock::time_point now) const {
+double peer_digests::open_remote(steering::routing_token token, clock::time_point now) const {
     const auto& known = summarize(now).loads;
     const auto found = known.find(token);
     return found == known.end() ? 0 : found->second;
@@ -207,12 +207,12 @@
 // Failure: one instance of a far zone is heard, stands for thirty, and has a few requests of a
 // small service open just then. The service looks full, and callers are refused while its slots are
 // idle. So only what is beyond doubt counts.
-double peer_digests::open_elsewhere_of(std::string_view service, clock::time_point now) const {
+double peer_digests::open_remote_of_service(std::string_view service, clock::time_point now) const {
     const auto told = service_elsewhere(service, now);
     return std::max(0.0, told.open - deviations_of_doubt * std::sqrt(told.open_variance));
 }
 
-double peer_digests::wanted_elsewhere(std::string_view service, clock::time_point now) const {
+double peer_digests::demand_remote(std::string_view service, clock::time_point now) const {
     return service_elsewhere(service, now).asked;
 }
 
--- a/libraries/fleet/peer_digests.h
+++ b/libraries/fleet/peer_digests.h
@@ -35,13 +35,13 @@
     std::size_t max_demands = 3;
 };
 
-struct heard_digest {
+struct received_digest {
     wire::digest content;
     clock::time_point at;
     clock::time_point confirmed;  // on this instance's clock; the epoch when never
 };
 
-class peer_digests final : public steering::load_view {
+class peer_digests final : public steering::remote_load {
 public:
     // `zone` is this instance's.
     peer_digests(const discovery::directory& known, std::string self, std::string zone,
@@ -50,29 +50,31 @@
     void on_digest(std::string_view sender, wire::digest content, clock::time_point now);
     void expire(clock::time_point now);
 
-    bool is_fresh(const heard_digest& subject, clock::time_point now) const {
+    bool is_fresh(const received_digest& subject, clock::time_point now) const {
         return now - subject.at <= limits_.freshness;
     }
-    const std::map<std::string, heard_digest, std::less<>>& heard() const { return heard_; }
+    const std::map<std::string, received_digest, std::less<>>& received() const {
+        return received_;
+    }
     // When any peer was last heard.
-    clock::time_point heard_at() const { return heard_at_; }
+    clock::time_point last_received_at() const { return last_received_at_; }
     // When a peer last said that the store didn't answer it.
-    clock::time_point store_missed_at() const { return store_missed_at_; }
+    clock::time_point store_failure_reported_at() const { return store_missed_at_; }
 
     // Whom the next digest goes to: peers of the own zone and of others, each group in a random
     // order, all of it before one comes again.
     std::vector<const discovery::peer_entry*> next_receivers();
 
     // The loads to tell: what this instance's packets show.
-    std::vector<wire::load_report> loads_of(const steering::flow_watch& flows) const;
+    std::vector<wire::load_report> loads_of(const steering::flow_tracker& flows) const;
 
     std::vector<wire::demand_report> demands_of(const steering::demand_by_service& demands,
-                                                const steering::flow_watch& flows,
+                                                const steering::flow_tracker& flows,
                                                 clock::time_point now) const;
 
-    double open_elsewhere(steering::routing_token token, clock::time_point now) const override;
-    double open_elsewhere_of(std::string_view service, clock::time_point now) const override;
-    double wanted_elsewhere(std::string_view service, clock::time_point now) const override;
+    double open_remote(steering::routing_token token, clock::time_point now) const override;
+    double open_remote_of_service(std::string_view service, clock::time_point now) const override;
+    double demand_remote(std::string_view service, clock::time_point now) const override;
 
 private:
     // One service, over the instances that the fresh digests stand for.
@@ -105,8 +107,8 @@
     std::string zone_;
     digest_limits limits_;
     std::minstd_rand random_;
-    std::map<std::string, heard_digest, std::less<>> heard_;  // by the sender's name
-    clock::time_point heard_at_;
+    std::map<std::string, received_digest, std::less<>> received_;  // by the sender's name
+    clock::time_point last_received_at_;
     clock::time_point store_missed_at_;
     // Receivers still to come in this round.
     std::vector<std::string> near_round_;
--- a/libraries/fleet/newcomer.cpp
+++ b/libraries/fleet/startup_recovery.cpp
@@ -1,10 +1,10 @@
-#include "fleet/newcomer.h"
+#include "fleet/startup_recovery.h"
 
 #include "base/hash.h"
 
 namespace bramleytrack::fleet {
 
-std::optional<pull> newcomer::next() {
+std::optional<pull> startup_recovery::next() {
     if (is_asking_ || asked_.size() >= limits_.peers_to_ask) {
         return std::nullopt;
     }
--- a/libraries/fleet/newcomer.h
+++ b/libraries/fleet/startup_recovery.h
@@ -12,18 +12,19 @@
 #include <string>
 
 #include "discovery/directory.h"
-#include "fleet/sources.h"
+#include "fleet/update_source_selector.h"
 
 namespace bramleytrack::fleet {
 
-struct newcomer_limits {
+struct startup_recovery_limits {
     // One peer may have started just now itself, another be gone.
     std::size_t peers_to_ask = 3;
 };
 
-class newcomer {
+class startup_recovery {
 public:
-    newcomer(const discovery::directory& known, std::string self, newcomer_limits limits = {})
+    startup_recovery(const discovery::directory& known, std::string self,
+                     startup_recovery_limits limits = {})
         : known_{known}, self_{std::move(self)}, limits_{limits} {}
 
     // The peer to ask next; nothing while one is being asked, and when enough have been. Called
@@ -35,7 +36,7 @@
 private:
     const discovery::directory& known_;
     std::string self_;
-    newcomer_limits limits_;
+    startup_recovery_limits limits_;
     std::set<std::string, std::less<>> asked_;
     bool is_asking_ = false;
 };
--- a/libraries/fleet/target_inquiry.cpp
+++ b/libraries/fleet/target_failure_detector.cpp
@@ -1,4 +1,4 @@
-#include "fleet/target_inquiry.h"
+#include "fleet/target_failure_detector.h"
 
 #include <algorithm>
 #include <utility>
@@ -14,9 +14,10 @@
 
 }  // namespace
 
-target_inquiries::target_inquiries(const discovery::directory& known, std::string self,
-                                   std::string zone, inquiry_actions& actions,
-                                   inquiry_limits limits)
+target_failure_detector::target_failure_detector(const discovery::directory& known,
+                                                 std::string self, std::string zone,
+                                                 failure_detector_actions& actions,
+                                                 failure_detector_limits limits)
     : known_{known},
       self_{std::move(self)},
       zone_{std::move(zone)},
@@ -24,7 +25,7 @@
       limits_{limits},
       probes_{limits.probes_at_once} {}
 
-void target_inquiries::suspect(discovery::routing_token token, clock::time_point now) {
+void target_failure_detector::suspect(discovery::routing_token token, clock::time_point now) {
     const auto* target = known_.find_target(token);
     if (target == nullptr) {
         return;
@@ -46,8 +47,8 @@
     }
 }
 
-void target_inquiries::on_said_dead(std::string_view peer, const dead_target& told, bool has_flows,
-                                    clock::time_point now) {
+void target_failure_detector::on_reported_dead(std::string_view peer, const dead_target& told,
+                                               bool has_flows, clock::time_point now) {
     const auto since = now - told.age;
     const auto sender = known_.peers().find(peer);
     const auto* target = known_.find_target(told.token);
@@ -63,14 +64,14 @@
         return;
     }
     note_verdict(told.token, {.since = since, .told = 0, .is_own = false, .is_refuted = false});
-    actions_.on_said_dead(*target, since + limits_.verdict_lifetime);
+    actions_.on_reported_dead(*target, since + limits_.verdict_lifetime);
     if (has_flows) {
         suspect(told.token, now);
     }
 }
 
-void target_inquiries::on_probe(discovery::routing_token token, bool is_reachable,
-                                clock::time_point now) {
+void target_failure_detector::on_probe(discovery::routing_token token, bool is_reachable,
+                                       clock::time_point now) {
     const auto found = inquiries_.find(token);
     if (found == inquiries_.end() || found->second.at != stage::probing) {
         return;
@@ -102,8 +103,9 @@
     }
 }
 
-void target_inquiries::on_question(std::string_view peer, discovery::routing_token token,
-                                   clock::time_point now) {
+void target_failure_detector::on_probe_request(std::string_view peer,
+                                               discovery::routing_token token,
+                                               clock::time_point now) {
     const auto asker = known_.peers().find(peer);
     const auto* target = known_.find_target(token);
     if (asker == known_.peers().end() || target == nullptr) {
@@ -122,8 +124,8 @@
     }
 }
 
-void target_inquiries::on_answer(std::string_view peer, discovery::routing_token token,
-                                 bool is_reachable, clock::time_point now) {
+void target_failure_detector::on_answer(std::string_view peer, discovery::routing_token token,
+                                        bool is_reachable, clock::time_point now) {
     const auto found = inquiries_.find(token);
     if (found == inquiries_.end() || found->second.at != stage::asking ||
         !contains(found->second.asked, peer) || contains(found->second.confirmed_by, peer)) {
@@ -140,11 +142,11 @@
     }
 }
 
-void target_inquiries::on_entry(discovery::routing_token token) {
+void target_failure_detector::on_entry(discovery::routing_token token) {
     refute(token);
 }
 
-void target_inquiries::refute(discovery::routing_token token) {
+void target_failure_detector::refute(discovery::routing_token token) {
     const auto found = verdicts_.find(token);
     if (found == verdicts_.end()) {
         return;
@@ -155,7 +157,7 @@
     }
 }
 
-void target_inquiries::expire(clock::time_point now) {
+void target_failure_detector::expire(clock::time_point now) {
     renew_verdicts(now);
     std::erase_if(inquiries_, [this, now](const auto& each) {
         const auto& subject = each.second;
@@ -175,7 +177,7 @@
     });
 }
 
-std::vector<dead_target> target_inquiries::take_verdicts(clock::time_point now) {
+std::vector<dead_target> target_failure_detector::take_verdicts(clock::time_point now) {
     has_news_ = false;
     std::vector<std::pair<discovery::routing_token, verdict*>> waiting;
     for (auto& [token, each] : verdicts_) {
@@ -196,8 +198,8 @@
     return result;
 }
 
-target_inquiries::inquiry* target_inquiries::begin(const discovery::target& target,
-                                                   clock::time_point now) {
+target_failure_detector::inquiry* target_failure_detector::begin(const discovery::target& target,
+                                                                 clock::time_point now) {
     if (probes_.refill(limits_.probes_per_second, now) < 1) {
         return nullptr;
     }
@@ -208,7 +210,8 @@
     return &subject;
 }
 
-void target_inquiries::probe_controls(const discovery::target& suspected, clock::time_point now) {
+void target_failure_detector::probe_controls(const discovery::target& suspected,
+                                             clock::time_point now) {
     const auto* pool = known_.find_pool(suspected.entry.service);
     if (pool == nullptr || reached_services_.contains(suspected.entry.service)) {
         return;
@@ -228,13 +231,13 @@
     }
 }
 
-void target_inquiries::conclude(inquiry& subject, clock::time_point now) {
+void target_failure_detector::conclude(inquiry& subject, clock::time_point now) {
     subject.at = stage::concluded;
     subject.since = now;
 }
 
-void target_inquiries::ask_peers(discovery::routing_token token, inquiry& subject,
-                                 clock::time_point now) {
+void target_failure_detector::ask_peers(discovery::routing_token token, inquiry& subject,
+                                        clock::time_point now) {
     const auto peers = peers_for(token, now);
     if (peers.empty()) {
         return;
@@ -251,8 +254,8 @@
     }
 }
 
-void target_inquiries::find_dead(discovery::routing_token token, inquiry& subject,
-                                 clock::time_point now) {
+void target_failure_detector::find_dead(discovery::routing_token token, inquiry& subject,
+                                        clock::time_point now) {
     conclude(subject, now);
     const auto* target = known_.find_target(token);
     if (target == nullptr || !reached_services_.contains(target->entry.service)) {
@@ -262,7 +265,7 @@
     actions_.on_dead(*target, subject.begun, subject.confirmed_by, now);
 }
 
-bool target_inquiries::is_confirmed(const inquiry& subject) const {
+bool target_failure_detector::is_confirmed(const inquiry& subject) const {
     return subject.confirmed_by.size() >=
            std::min(limits_.least_confirmations, subject.asked.size());
 }
@@ -270,7 +273,7 @@
 // The same peers for all who suspect the target at that time, so that it is probed few times;
 // others a moment later, since some may be gone. Those of the own zone come first: they share its
 // cuts, and what they find holds for its callers.
-std::vector<const discovery::peer_entry*> target_inquiries::peers_for(
+std::vector<const discovery::peer_entry*> target_failure_detector::peers_for(
     discovery::routing_token token, clock::time_point now) const {
     struct ranked {
         bool is_near = false;
@@ -301,18 +304,19 @@
     return result;
 }
 
-bool target_inquiries::is_said_dead(discovery::routing_token token, clock::time_point now) const {
+bool target_failure_detector::is_said_dead(discovery::routing_token token,
+                                           clock::time_point now) const {
     const auto found = verdicts_.find(token);
     return found != verdicts_.end() && !found->second.is_refuted &&
            now - found->second.since <= limits_.verdict_lifetime;
 }
 
-void target_inquiries::note_verdict(discovery::routing_token token, const verdict& noted) {
+void target_failure_detector::note_verdict(discovery::routing_token token, const verdict& noted) {
     verdicts_[token] = noted;
     has_news_ = true;
 }
 
-void target_inquiries::renew_verdicts(clock::time_point now) {
+void target_failure_detector::renew_verdicts(clock::time_point now) {
     for (const auto& [token, each] : verdicts_) {
         const auto* target = known_.find_target(token);
         const bool is_due = each.is_own && !each.is_refuted && target != nullptr &&
--- a/libraries/fleet/target_inquiry.h
+++ b/libraries/fleet/target_failure_detector.h
@@ -29,7 +29,7 @@
 
 namespace bramleytrack::fleet {
 
-struct inquiry_limits {
+struct failure_detector_limits {
     // Peers that are asked answer after a probe of theirs, or not at all.
     clock::duration answers_within{200};
     std::size_t peers_to_ask = 3;
@@ -60,14 +60,14 @@
 };
 
 // What is to be done in the course of an inquiry.
-class inquiry_actions {
+class failure_detector_actions {
 public:
-    inquiry_actions() = default;
-    inquiry_actions(const inquiry_actions&) = delete;
-    inquiry_actions& operator=(const inquiry_actions&) = delete;
-    virtual ~inquiry_actions() = default;
+    failure_detector_actions() = default;
+    failure_detector_actions(const failure_detector_actions&) = delete;
+    failure_detector_actions& operator=(const failure_detector_actions&) = delete;
+    virtual ~failure_detector_actions() = default;
 
-    // Tries to reach the target; target_inquiries::on_probe is called with the outcome.
+    // Tries to reach the target; target_failure_detector::on_probe is called with the outcome.
     virtual void probe(const discovery::target& target) = 0;
     virtual void ask(const discovery::peer_entry& peer, discovery::routing_token token) = 0;
     virtual void answer(const discovery::peer_entry& peer, discovery::routing_token token,
@@ -76,7 +76,7 @@
     virtual void on_dead(const discovery::target& target, clock::time_point probed_at,
                          std::span<const std::string> confirmed_by, clock::time_point now) = 0;
     // A peer's word, which holds until then: new flows had better go elsewhere.
-    virtual void on_said_dead(const discovery::target& target, clock::time_point until) = 0;
+    virtual void on_reported_dead(const discovery::target& target, clock::time_point until) = 0;
     // The target was reached from here, whatever peers say.
     virtual void on_reached(const discovery::target& target) = 0;
 };
@@ -87,19 +87,20 @@
     clock::duration age{0};  // since it was found
 };
 
-class target_inquiries {
+class target_failure_detector {
 public:
-    target_inquiries(const discovery::directory& known, std::string self, std::string zone,
-                     inquiry_actions& actions, inquiry_limits limits = {});
+    target_failure_detector(const discovery::directory& known, std::string self, std::string zone,
+                            failure_detector_actions& actions, failure_detector_limits limits = {});
 
     // A caller's packet came again, and nothing shows that the target has had the first.
     void suspect(discovery::routing_token token, clock::time_point now);
     // A peer's digest tells of a dead target; `has_flows` says whether flows of it are known here.
-    void on_said_dead(std::string_view peer, const dead_target& told, bool has_flows,
-                      clock::time_point now);
+    void on_reported_dead(std::string_view peer, const dead_target& told, bool has_flows,
+                          clock::time_point now);
 
     void on_probe(discovery::routing_token token, bool is_reachable, clock::time_point now);
-    void on_question(std::string_view peer, discovery::routing_token token, clock::time_point now);
+    void on_probe_request(std::string_view peer, discovery::routing_token token,
+                          clock::time_point now);
     void on_answer(std::string_view peer, discovery::routing_token token, bool is_reachable,
                    clock::time_point now);
     // The target wrote to the store: it lives.
@@ -149,8 +150,8 @@
     const discovery::directory& known_;
     std::string self_;
     std::string zone_;
-    inquiry_actions& actions_;
-    inquiry_limits limits_;
+    failure_detector_actions& actions_;
+    failure_detector_limits limits_;
     rate_budget probes_;
     std::set<std::string, std::less<>> reached_services_;  // of which a target took a connection
     std::unordered_map<discovery::routing_token, inquiry> inquiries_;
--- a/libraries/fleet/sources.h
+++ b/libraries/fleet/update_source_selector.h
@@ -21,25 +21,25 @@
 
 namespace bramleytrack::fleet {
 
-struct source_limits {
+struct update_source_limits {
     // A second one would hear of each change at twice the calls. What shows a watch that is deaf,
     // or a watcher that has ended, is the age of its word.
     std::size_t watchers = 1;
     // The watcher may be cut off from the store, silently, while this instance isn't. A change must
     // be in force after 3 s, so an instance without newer word reads itself 500 ms before. A watch
     // confirms every 1.9 s, and one digest later all have its word.
-    clock::duration longest_without_word{2'500};
+    clock::duration max_confirmation_age{2'500};
     // A watcher that a peer is ahead of would have heard by itself within a few milliseconds, plus
     // its pause after news; if it hasn't, its watch is deaf.
-    clock::duration patience_of_watcher{500};
-    clock::duration patience_of_follower{0};
+    clock::duration watcher_staleness_limit{500};
+    clock::duration follower_staleness_limit{0};
     // A pull takes some milliseconds, and 700 when the peer is gone; then the store is quicker.
-    clock::duration longest_behind{1'000};
+    clock::duration max_time_behind{1'000};
     // An instance that the store refuses leaves the watch to others and tries again so much later.
     clock::duration retry_after_loss{3'000};
     // An instance that has just read everything hears three digests before it watches: one of its
     // peers watches already, or they all start together and settle who does.
-    clock::duration patience_of_newcomer{900};
+    clock::duration watch_start_delay{900};
     // Without a word from the store or any peer for so long, the instance takes itself for cut off.
     clock::duration isolation{2'000};
 };
@@ -50,13 +50,13 @@
     std::string address;
 };
 
-class sources {
+class update_source_selector {
 public:
-    sources(const discovery::directory& known, const peer_digests& digests, std::string self,
-            source_limits limits = {});
+    update_source_selector(const discovery::directory& known, const peer_digests& digests,
+                           std::string self, update_source_limits limits = {});
 
     // Everything was read for the first time.
-    void on_informed(clock::time_point now) { informed_at_ = now; }
+    void on_initial_state(clock::time_point now) { initial_state_at_ = now; }
 
     // Whether this instance's own watch is wanted now.
     bool should_watch(const store::feed& own, clock::time_point now) const;
@@ -67,7 +67,7 @@
 
     // The peer to fetch from when one knows more than `revision`. `is_watching` says that a watch
     // is open here. Called at each tick.
-    std::optional<pull> wanted_pull(std::int64_t revision, bool is_watching, clock::time_point now);
+    std::optional<pull> next_pull(std::int64_t revision, bool is_watching, clock::time_point now);
 
     // When what this instance holds was last known to be all there is.
     clock::time_point confirmed_at(const store::feed& own, std::int64_t revision) const;
@@ -78,8 +78,8 @@
 
     // Whether this instance, or a peer that it heard, has missed the store within `grace`: entries
     // that vanish then may belong to targets that live.
-    bool is_store_suspect(const store::feed& own, clock::duration grace,
-                          clock::time_point now) const;
+    bool had_recent_store_outage(const store::feed& own, clock::duration grace,
+                                 clock::time_point now) const;
     bool is_isolated(const store::feed& own, clock::time_point now) const;
 
 private:
@@ -88,8 +88,8 @@
     const discovery::directory& known_;
     const peer_digests& digests_;
     std::string self_;
-    source_limits limits_;
-    clock::time_point informed_at_;
+    update_source_limits limits_;
+    clock::time_point initial_state_at_;
     clock::time_point pulled_confirmation_;
     clock::time_point behind_since_;
     bool is_behind_ = false;
--- a/libraries/observability/steering_metrics.cpp
+++ b/libraries/observability/steering_metrics.cpp
@@ -159,10 +159,10 @@
             family.Add({{"service", each.service}, {"through", through}}).Set(value);
         };
         self.slots.Add({{"service", each.service}}).Set(each.slots);
-        set(self.open, each.open_here, "this");
-        set(self.open, each.open_elsewhere, "others");
-        set(self.wanted, each.wanted_here, "this");
-        set(self.wanted, each.wanted_elsewhere, "others");
+        set(self.open, each.open_local, "this");
+        set(self.open, each.open_remote, "others");
+        set(self.wanted, each.demand_local, "this");
+        set(self.wanted, each.demand_remote, "others");
     }
     return render_registry<steering_gauges>(self.registry, gauges, state);
 }
--- a/libraries/observability/steering_metrics.h
+++ b/libraries/observability/steering_metrics.h
@@ -13,10 +13,10 @@
 struct service_gauges {
     std::string service;
     double slots = 0;  // of its targets that take flows
-    double open_here = 0;
-    double open_elsewhere = 0;
-    double wanted_here = 0;
-    double wanted_elsewhere = 0;
+    double open_local = 0;
+    double open_remote = 0;
+    double demand_local = 0;
+    double demand_remote = 0;
 };
 
 // What is read off the state when the metrics are asked for.
--- a/libraries/steering/decision.h
+++ b/libraries/steering/decision.h
@@ -29,7 +29,7 @@
 using decision = std::variant<forward, refuse, drop>;
 
 // How far the instance trusts what it knows when a packet arrives.
-struct belief {
+struct directory_state {
     bool is_complete = false;     // the store, or a peer, has told everything once
     clock::time_point confirmed;  // what the directory holds was true then
 };
--- a/libraries/steering/decision_log.cpp
+++ b/libraries/steering/decision_log.cpp
@@ -54,19 +54,19 @@
         .with("confirmed_ms_ago", age_of(facts.state.confirmed, now))
         .with("candidates", static_cast<std::int64_t>(facts.candidates));
     if (const auto* chosen = std::get_if<forward>(&facts.made)) {
-        const auto& signs = flows_.signs(chosen->to->token);
+        const auto& health = flows_.health(chosen->to->token);
         event.with("target", chosen->to->entry.id)
             .with("target_zone", chosen->to->entry.zone)
             .with("target_revision", chosen->to->revision)
             .with("target_age_ms", age_of(chosen->to->changed_at, now))
-            .with("open_requests", signs.open_requests);
+            .with("open_requests", health.open_requests);
     } else {
         constexpr double percent = 100;
         event.with("caller_over_share", is_heavy ? "yes" : "no")
-            .with("room_percent", std::llround(percent * facts.share_of_room))
+            .with("room_percent", std::llround(percent * facts.capacity_share))
             .with("slots", std::llround(facts.use.slots()))
-            .with("open_here", std::llround(facts.use.open_here()))
-            .with("open_elsewhere", std::llround(facts.use.open_elsewhere()))
+            .with("open_here", std::llround(facts.use.open_local()))
+            .with("open_elsewhere", std::llround(facts.use.open_remote()))
             .with("wanted_here", std::llround(facts.use.wants().here))
             .with("wanted_elsewhere", std::llround(facts.use.wants().elsewhere));
     }
@@ -89,16 +89,16 @@
     log_.write(event);
 }
 
-void decision_log::target_dead(const discovery::target& target, const target_signs& signs,
+void decision_log::target_dead(const discovery::target& target, const target_health& health,
                                std::size_t flows, clock::time_point now) {
-    if (!log_.admits(log_kind::belief, now)) {
+    if (!log_.admits(log_kind::state_change, now)) {
         return;
     }
     log_.write(log_event{"target_dead"}
                    .with("target", target.entry.id)
                    .with("target_zone", target.entry.zone)
-                   .with("silent_flows", signs.silent_flows)
-                   .with("answered_ms_ago", age_of(signs.answered_at, now))
+                   .with("silent_flows", health.silent_flows)
+                   .with("answered_ms_ago", age_of(health.answered_at, now))
                    .with("target_age_ms", age_of(target.changed_at, now))
                    .with("flows_ended", static_cast<std::int64_t>(flows)));
 }
@@ -125,7 +125,7 @@
         .with("copy", content.copy)
         .with("target", target->entry.id)
         .with("after_ms", (now - flow->seen_at).count())
-        .with("target_answered_ms_ago", age_of(flows_.signs(target->token).answered_at, now));
+        .with("target_answered_ms_ago", age_of(flows_.health(target->token).answered_at, now));
     log_.write(event);
 }
 
@@ -135,13 +135,13 @@
     if (!is_late || !log_.admits(log_kind::answer, now)) {
         return;
     }
-    const auto& signs = flows_.signs(target.token);
+    const auto& health = flows_.health(target.token);
     auto event = flow_event("late_answer", content.flow);
     event.with("target", target.entry.id)
         .with("took_ms", took.count())
         .with("objective_ms", objective.count())
-        .with("open_requests", signs.open_requests)
-        .with("usual_ms", std::llround(signs.answer_ms))
+        .with("open_requests", health.open_requests)
+        .with("usual_ms", std::llround(health.answer_ms))
         .with("target_age_ms", age_of(target.changed_at, now));
     log_.write(event);
 }
--- a/libraries/steering/decision_log.h
+++ b/libraries/steering/decision_log.h
@@ -12,27 +12,27 @@
 #include "discovery/directory.h"
 #include "steering/admission.h"
 #include "steering/decision.h"
-#include "steering/flow_watch.h"
-#include "steering/turned_away.h"
+#include "steering/flow_tracker.h"
+#include "steering/rejection_summary.h"
 
 namespace bramleytrack::steering {
 
 // What an opening packet was decided by.
 struct opening_facts {
     const segment& content;
-    const belief& state;
+    const directory_state& state;
     std::string_view service;                 // "none" without a route
     const discovery::route* route = nullptr;  // nothing when none is known
     const decision& made;
     std::size_t candidates = 0;  // targets that could have taken the flow
-    double share_of_room = 1;    // less than 1 for a route or caller that yields to others
-    const service_use& use;
+    double capacity_share = 1;   // less than 1 for a route or caller that yields to others
+    const service_usage& use;
 };
 
 class decision_log {
 public:
     // `zone` is this instance's.
-    decision_log(event_log& log, const discovery::directory& known, const flow_watch& flows,
+    decision_log(event_log& log, const discovery::directory& known, const flow_tracker& flows,
                  std::string zone)
         : log_{log}, known_{known}, flows_{flows}, zone_{std::move(zone)} {}
 
@@ -42,8 +42,8 @@
     // A later packet that wasn't forwarded.
     void packet(const segment& content, const decision& made, clock::time_point now);
     // All flows of a target are ended, since it has died or can't be reached.
-    void target_dead(const discovery::target& target, const target_signs& signs, std::size_t flows,
-                     clock::time_point now);
+    void target_dead(const discovery::target& target, const target_health& health,
+                     std::size_t flows, clock::time_point now);
     // One of them, which sent nothing just now.
     void flow_ended(const flow_key& flow, const discovery::target& target, clock::time_point now);
     // A copy of an opening packet came: the target that was chosen before hasn't answered.
@@ -55,9 +55,9 @@
 private:
     event_log& log_;
     const discovery::directory& known_;
-    const flow_watch& flows_;
+    const flow_tracker& flows_;
     std::string zone_;
-    turned_away left_out_;
+    rejection_summary left_out_;
 };
 
 }  // namespace bramleytrack::steering
--- a/libraries/steering/flow_watch.cpp
+++ b/libraries/steering/flow_tracker.cpp
@@ -1,4 +1,4 @@
-#include "steering/flow_watch.h"
+#include "steering/flow_tracker.h"
 
 #include <algorithm>
 
@@ -18,13 +18,13 @@
 
 }  // namespace
 
-const flow_state* flow_watch::find(const flow_key& key) const {
+const flow_state* flow_tracker::find(const flow_key& key) const {
     const auto found = flows_.find(key);
     return found == flows_.end() ? nullptr : &found->second;
 }
 
-std::optional<routing_token> flow_watch::just_opened_on(const segment& copy,
-                                                        clock::time_point now) const {
+std::optional<routing_token> flow_tracker::find_recent_opening(const segment& copy,
+                                                               clock::time_point now) const {
     const auto* flow = find(copy.flow);
     const bool is_same = flow != nullptr && !flow->is_established && flow->token != 0 &&
                          flow->opening_sequence == copy.sequence;
@@ -32,25 +32,27 @@
     return is_early ? std::optional{flow->token} : std::nullopt;
 }
 
-std::optional<routing_token> flow_watch::note_unanswered(const flow_key& key,
-                                                         clock::time_point now) {
+std::optional<routing_token> flow_tracker::note_unanswered(const flow_key& key,
+                                                           clock::time_point now) {
     const auto found = flows_.find(key);
     if (found == flows_.end() || found->second.is_established ||
         now - found->second.opened_at < limits_.least_copy_interval) {
         return std::nullopt;
     }
-    auto& signs = signs_[found->second.token];
+    auto& health = health_[found->second.token];
     // A target that answered others meanwhile lost one packet, no more.
-    if (signs.answered_at > found->second.opened_at) {
+    if (health.answered_at > found->second.opened_at) {
         return std::nullopt;
     }
-    const int doublings = std::min(signs.unanswered, max_shun_doublings);
-    ++signs.unanswered;
-    signs.shunned_until = now + std::min(limits_.longest_shun, limits_.shun_for * (1 << doublings));
+    const int doublings = std::min(health.unanswered, max_shun_doublings);
+    ++health.unanswered;
+    health.ejected_until =
+        now + std::min(limits_.max_ejection_time, limits_.ejection_time * (1 << doublings));
     return found->second.token;
 }
 
-void flow_watch::note_opening(const segment& opening, routing_token token, clock::time_point now) {
+void flow_tracker::note_opening(const segment& opening, routing_token token,
+                                clock::time_point now) {
     const auto found = flows_.find(opening.flow);
     if (found == flows_.end() && flows_.size() >= limits_.max_flows) {
         return;
@@ -69,15 +71,15 @@
             .is_established = false,
             .has_open_request = false,
             .is_request_sent = false};
-    auto& signs = signs_[token];
-    ++signs.flows;
-    signs.opened_at = now;
+    auto& health = health_[token];
+    ++health.flows;
+    health.opened_at = now;
     begin_request(opening.flow, flow);
     openings_.emplace_back(opening.flow, now);
     fresh_openings_.emplace_back(opening.flow, now);
 }
 
-std::vector<routing_token> flow_watch::take_unfollowed(clock::time_point now) {
+std::vector<routing_token> flow_tracker::take_abandoned_openings(clock::time_point now) {
     std::vector<routing_token> result;
     while (!fresh_openings_.empty() &&
            now - fresh_openings_.front().second >= limits_.opening_answered_within) {
@@ -85,7 +87,7 @@
         const auto* flow = find(key);
         const bool is_unfollowed =
             flow != nullptr && !flow->is_established && flow->opened_at == opened_at;
-        if (is_unfollowed && signs(flow->token).answered_at <= opened_at) {
+        if (is_unfollowed && health(flow->token).answered_at <= opened_at) {
             result.push_back(flow->token);
         }
         fresh_openings_.pop_front();
@@ -93,7 +95,7 @@
     return result;
 }
 
-observation flow_watch::note_packet(const segment& content, clock::time_point now) {
+observation flow_tracker::note_packet(const segment& content, clock::time_point now) {
     observation result;
     const bool is_end = content.is_reset || content.is_closing;
     auto* known = find_or_adopt(content, is_end, now);
@@ -108,7 +110,7 @@
         flow.next_sequence = content.sequence;
         result.is_answer_to_opening = true;
         result.opening_took = now - flow.opened_at;
-        note_life(signs_[flow.token], now);
+        note_response(health_[flow.token], now);
     }
     if (content.length > 0) {
         note_data(flow, content, result, now);
@@ -126,7 +128,8 @@
 }
 
 // The record of the packet's flow; nothing when there is none and none is worth making.
-flow_state* flow_watch::find_or_adopt(const segment& content, bool is_end, clock::time_point now) {
+flow_state* flow_tracker::find_or_adopt(const segment& content, bool is_end,
+                                        clock::time_point now) {
     auto found = flows_.find(content.flow);
     if (found != flows_.end() && found->second.token == content.token) {
         return &found->second;
@@ -146,12 +149,12 @@
     auto& flow = found->second;
     flow.token = content.token;
     flow.is_established = true;
-    ++signs_[flow.token].flows;
+    ++health_[flow.token].flows;
     return &flow;
 }
 
-void flow_watch::note_data(flow_state& flow, const segment& content, observation& result,
-                           clock::time_point now) {
+void flow_tracker::note_data(flow_state& flow, const segment& content, observation& result,
+                             clock::time_point now) {
     const auto end = content.sequence + content.length;
     if (!is_after(end, flow.next_sequence)) {
         note_repeat(flow, result, now);
@@ -173,35 +176,35 @@
     flow.request_at = now;
 }
 
-void flow_watch::note_repeat(flow_state& flow, observation& result, clock::time_point now) {
-    auto& signs = signs_[flow.token];
+void flow_tracker::note_repeat(flow_state& flow, observation& result, clock::time_point now) {
+    auto& health = health_[flow.token];
     ++flow.repeats;
     result.repeats = flow.repeats;
-    const bool has_shown_life = signs.answered_at > flow.request_at;
+    const bool has_shown_life = health.answered_at > flow.request_at;
     const auto waited = now - flow.request_at;
     result.is_target_suspect = !has_shown_life && waited >= limits_.least_copy_interval;
-    result.is_target_dead = result.is_target_suspect && now < signs.dead_until;
+    result.is_target_dead = result.is_target_suspect && now < health.dead_until;
     if (flow.repeats < repeats_of_silence || has_shown_life || waited < limits_.least_silence) {
         return;
     }
-    signs.silent_flows += flow.counts_as_silent ? 0 : 1;
+    health.silent_flows += flow.counts_as_silent ? 0 : 1;
     flow.counts_as_silent = true;
     result.is_target_silent =
-        signs.silent_flows >= limits_.least_silent_flows && path_.is_sound(now);
+        health.silent_flows >= limits_.min_silent_flows && path_.is_sound(now);
     result.is_target_dead =
         result.is_target_dead ||
-        (result.is_target_silent && signs.silent_flows >= limits_.least_silent_flows_of_dead);
+        (result.is_target_silent && health.silent_flows >= limits_.min_silent_flows_of_dead);
     if (result.is_target_silent) {
-        signs.shunned_until = std::max(signs.shunned_until, now + limits_.shun_for);
+        health.ejected_until = std::max(health.ejected_until, now + limits_.ejection_time);
     }
 }
 
 // Callers acknowledge without data only when something of the target has just arrived. An
 // acknowledgement that comes with data is no such sign: the answer may have come long before.
-void flow_watch::note_acknowledgement(flow_state& flow, const segment& content, observation& result,
-                                      clock::time_point now) {
-    auto& signs = signs_[flow.token];
-    note_life(signs, now);
+void flow_tracker::note_acknowledgement(flow_state& flow, const segment& content,
+                                        observation& result, clock::time_point now) {
+    auto& health = health_[flow.token];
+    note_response(health, now);
     if (!flow.is_request_sent) {
         return;
     }
@@ -209,11 +212,11 @@
     result.answer_took = now - flow.request_at;
     path_.on_answer(flow.repeats > 0, now);
     const auto took = static_cast<double>(result.answer_took.count());
-    signs.answer_ms += signs.answer_ms == 0 ? took : (took - signs.answer_ms) * answer_weight;
+    health.answer_ms += health.answer_ms == 0 ? took : (took - health.answer_ms) * answer_weight;
     end_request(content.flow, flow);
 }
 
-void flow_watch::forget(const flow_key& key) {
+void flow_tracker::forget(const flow_key& key) {
     const auto found = flows_.find(key);
     if (found != flows_.end()) {
         release(key, found->second);
@@ -221,7 +224,7 @@
     }
 }
 
-std::vector<reset> flow_watch::end_flows_of(routing_token token) {
+std::vector<reset> flow_tracker::end_flows_of(routing_token token) {
     std::vector<reset> result;
     for (auto each = flows_.begin(); each != flows_.end();) {
         auto& [key, flow] = *each;
@@ -239,7 +242,7 @@
 // Failure: all instances lost power, and while they start, openings wait in their sockets until
 // most callers have given up. Counted as requests, they fill the targets' room, and callers that
 // come now are refused by targets that are idle.
-void flow_watch::end_openings_without_request(clock::time_point now) {
+void flow_tracker::end_openings_without_request(clock::time_point now) {
     while (!openings_.empty() && now - openings_.front().second >= limits_.request_follows) {
         const auto& [key, opened_at] = openings_.front();
         const auto found = flows_.find(key);
@@ -251,7 +254,7 @@
     }
 }
 
-void flow_watch::expire(clock::time_point now) {
+void flow_tracker::expire(clock::time_point now) {
     end_openings_without_request(now);
     if (now < next_expiry_) {
         return;
@@ -272,58 +275,58 @@
         each = flows_.erase(each);
     }
     callers_.expire(now);
-    std::erase_if(signs_, [this, now](const auto& each) {
-        const auto& signs = each.second;
-        const bool is_doubted = now < std::max(signs.said_dead_until, signs.dead_until);
-        return signs.flows == 0 && !is_doubted && now - signs.opened_at > limits_.idle_lifetime;
+    std::erase_if(health_, [this, now](const auto& each) {
+        const auto& health = each.second;
+        const bool is_doubted = now < std::max(health.reported_dead_until, health.dead_until);
+        return health.flows == 0 && !is_doubted && now - health.opened_at > limits_.idle_lifetime;
     });
 }
 
-const target_signs& flow_watch::signs(routing_token token) const {
-    static const target_signs unknown;
-    const auto found = signs_.find(token);
-    return found == signs_.end() ? unknown : found->second;
+const target_health& flow_tracker::health(routing_token token) const {
+    static const target_health unknown;
+    const auto found = health_.find(token);
+    return found == health_.end() ? unknown : found->second;
 }
 
-void flow_watch::begin_request(const flow_key& key, flow_state& flow) {
+void flow_tracker::begin_request(const flow_key& key, flow_state& flow) {
     if (flow.has_open_request) {
         return;
     }
     flow.has_open_request = true;
-    ++signs_[flow.token].open_requests;
+    ++health_[flow.token].open_requests;
     callers_.on_request_begun(key.caller.address);
 }
 
-void flow_watch::end_request(const flow_key& key, flow_state& flow) {
+void flow_tracker::end_request(const flow_key& key, flow_state& flow) {
     flow.is_request_sent = false;
     if (!flow.has_open_request) {
         return;
     }
     flow.has_open_request = false;
-    --signs_[flow.token].open_requests;
+    --health_[flow.token].open_requests;
     callers_.on_request_ended(key.caller.address);
 }
 
-void flow_watch::release(const flow_key& key, flow_state& flow) {
-    --signs_[flow.token].flows;
+void flow_tracker::release(const flow_key& key, flow_state& flow) {
+    --health_[flow.token].flows;
     end_request(key, flow);
 }
 
-void flow_watch::note_reached(routing_token token) {
-    const auto found = signs_.find(token);
-    if (found != signs_.end()) {
-        found->second.said_dead_until = {};
+void flow_tracker::note_reached(routing_token token) {
+    const auto found = health_.find(token);
+    if (found != health_.end()) {
+        found->second.reported_dead_until = {};
         found->second.dead_until = {};
     }
 }
 
-void flow_watch::note_life(target_signs& signs, clock::time_point now) {
-    signs.said_dead_until = {};
-    signs.dead_until = {};
-    signs.unanswered = 0;
-    signs.silent_flows = 0;
-    signs.shunned_until = {};
-    signs.answered_at = now;
+void flow_tracker::note_response(target_health& health, clock::time_point now) {
+    health.reported_dead_until = {};
+    health.dead_until = {};
+    health.unanswered = 0;
+    health.silent_flows = 0;
+    health.ejected_until = {};
+    health.answered_at = now;
     path_.on_life(now);
 }
 
--- a/libraries/steering/load_picture.cpp
+++ b/libraries/steering/load_estimate.cpp
@@ -1,4 +1,4 @@
-#include "steering/load_picture.h"
+#include "steering/load_estimate.h"
 
 #include <algorithm>
 
@@ -13,28 +13,28 @@
 
 }  // namespace
 
-bool load_picture::may_take_flows(const discovery::target& target, clock::time_point now) const {
+bool load_estimate::accepts_flows(const discovery::target& target, clock::time_point now) const {
     return target.takes_flows(now) && !known_.is_zone_out(target.entry.zone);
 }
 
-target_use load_picture::use_of(const discovery::target& target, clock::time_point now) const {
+target_usage load_estimate::use_of(const discovery::target& target, clock::time_point now) const {
     return {.slots = std::max(1, target.entry.slots),
-            .here = static_cast<double>(flows_.signs(target.token).open_requests),
-            .elsewhere = loads_.open_elsewhere(target.token, now)};
+            .here = static_cast<double>(flows_.health(target.token).open_requests),
+            .elsewhere = loads_.open_remote(target.token, now)};
 }
 
-bool load_picture::is_shunned(const discovery::target& target, clock::time_point now) const {
-    const auto& signs = flows_.signs(target.token);
-    return now < std::max({signs.shunned_until, signs.said_dead_until, signs.dead_until});
+bool load_estimate::is_ejected(const discovery::target& target, clock::time_point now) const {
+    const auto& health = flows_.health(target.token);
+    return now < std::max({health.ejected_until, health.reported_dead_until, health.dead_until});
 }
 
-service_use load_picture::use_of(const discovery::pool& pool, const service_wants& wants,
-                                 const zone_filter& is_allowed, clock::time_point now) {
+service_usage load_estimate::use_of(const discovery::pool& pool, const service_demand_split& wants,
+                                    const zone_filter& is_allowed, clock::time_point now) {
     const auto& sum = sum_of(pool, now);
-    service_use result{wants};
-    service_use shunned;
+    service_usage result{wants};
+    service_usage ejected;
     std::size_t targets = 0;
-    std::size_t shunned_targets = 0;
+    std::size_t ejected_targets = 0;
     bool are_all_allowed = true;
     for (const auto& [zone, each] : sum.zones) {
         if (!is_allowed(zone)) {
@@ -42,30 +42,30 @@
             continue;
         }
         result.add(each.taking);
-        shunned.add(each.shunned);
+        ejected.add(each.ejected);
         targets += each.targets;
-        shunned_targets += each.shunned_targets;
+        ejected_targets += each.ejected_targets;
     }
-    if (are_too_many_shunned(shunned_targets, targets)) {
-        result.add(shunned);
+    if (are_too_many_ejected(ejected_targets, targets)) {
+        result.add(ejected);
     }
     // What peers tell of the whole service can't be split by the zones of its targets.
     if (are_all_allowed) {
-        result.note_open_elsewhere(loads_.open_elsewhere_of(pool.description.name, now));
+        result.raise_remote_open_to(loads_.open_remote_of_service(pool.description.name, now));
     }
     result.add_placed(sum.placed_since);
     return result;
 }
 
-void load_picture::note_placed(std::string_view service) {
+void load_estimate::note_placed(std::string_view service) {
     const auto found = sums_.find(service);
     if (found != sums_.end()) {
         ++found->second.placed_since;
     }
 }
 
-const load_picture::service_sum& load_picture::sum_of(const discovery::pool& pool,
-                                                      clock::time_point now) {
+const load_estimate::service_sum& load_estimate::sum_of(const discovery::pool& pool,
+                                                        clock::time_point now) {
     auto& sum = sums_[pool.description.name];
     if (now < sum.until) {
         return sum;
@@ -81,10 +81,10 @@
             if (!each->takes_flows(now) || each->is_cold(now)) {
                 continue;
             }
-            const bool is_left_alone = is_shunned(*each, now);
-            (is_left_alone ? made.shunned : made.taking).add(use_of(*each, now));
+            const bool is_left_alone = is_ejected(*each, now);
+            (is_left_alone ? made.ejected : made.taking).add(use_of(*each, now));
             ++made.targets;
-            made.shunned_targets += is_left_alone ? 1 : 0;
+            made.ejected_targets += is_left_alone ? 1 : 0;
         }
     }
     return sum;
--- a/libraries/steering/placement.cpp
+++ b/libraries/steering/placement.cpp
@@ -54,36 +54,36 @@
 
 }  // namespace
 
-bool are_too_many_shunned(std::size_t shunned, std::size_t all) {
-    return 2 * shunned > all;
+bool are_too_many_ejected(std::size_t ejected, std::size_t all) {
+    return 2 * ejected > all;
 }
 
-std::variant<std::size_t, no_choice> choose(std::span<const candidate> candidates,
-                                            std::uint64_t flow_hash, std::uint32_t copy) {
+std::variant<std::size_t, placement_failure> choose(std::span<const candidate> candidates,
+                                                    std::uint64_t flow_hash, std::uint32_t copy) {
     if (candidates.empty()) {
-        return no_choice::no_target;
+        return placement_failure::no_target;
     }
     using group = bool (*)(const candidate&);
     constexpr std::array<group, 3> preferred{
-        [](const candidate& each) { return !each.is_shunned && each.has_room && each.is_near; },
+        [](const candidate& each) { return !each.is_ejected && each.has_room && each.is_near; },
         [](const candidate& each) {
-            return !each.is_shunned && each.has_room && each.is_in_region;
+            return !each.is_ejected && each.has_room && each.is_in_same_region;
         },
-        [](const candidate& each) { return !each.is_shunned && each.has_room; }};
+        [](const candidate& each) { return !each.is_ejected && each.has_room; }};
     for (const auto is_member : preferred) {
         if (const auto found = lighter_of_first(candidates, flow_hash, copy, is_member)) {
             return *found;
         }
     }
-    const auto shunned = std::ranges::count_if(candidates, &candidate::is_shunned);
-    if (are_too_many_shunned(static_cast<std::size_t>(shunned), candidates.size())) {
+    const auto ejected = std::ranges::count_if(candidates, &candidate::is_ejected);
+    if (are_too_many_ejected(static_cast<std::size_t>(ejected), candidates.size())) {
         constexpr group has_room = [](const candidate& each) { return each.has_room; };
         if (const auto found = lighter_of_first(candidates, flow_hash, copy, has_room)) {
             return *found;
         }
     }
-    if (!std::ranges::all_of(candidates, &candidate::is_shunned)) {
-        return no_choice::saturated;
+    if (!std::ranges::all_of(candidates, &candidate::is_ejected)) {
+        return placement_failure::saturated;
     }
     // All are shunned and full: one of them may have come back, and nothing else is left to try.
     return *lighter_of_first(candidates, flow_hash, copy, [](const candidate&) { return true; });
--- a/libraries/steering/placement.h
+++ b/libraries/steering/placement.h
@@ -18,10 +18,10 @@
 // What is known of a target when a flow is to be placed.
 struct candidate {
     const discovery::target* subject = nullptr;
-    bool is_in_region = true;  // in this instance's region
-    bool is_near = false;      // in this instance's zone
-    bool is_shunned = false;   // left an opening unanswered not long ago
-    bool has_room = true;      // see admission
+    bool is_in_same_region = true;  // in this instance's region
+    bool is_near = false;           // in this instance's zone
+    bool is_ejected = false;        // left an opening unanswered not long ago
+    bool has_room = true;           // see admission
     double load = 0;       // requests that are open on it, by slot, as far as all instances tell
     double answer_ms = 0;  // what its answers take, 0 when none is known; weighs its load
 };
@@ -30,10 +30,10 @@
 // are shunned though they live; the few others are soon full, and callers would be refused while
 // targets are idle. More than half of a service doesn't die within the seconds for which targets
 // are shunned, so beyond that the sign is doubted, and shunned targets take what the others can't.
-bool are_too_many_shunned(std::size_t shunned, std::size_t all);
+bool are_too_many_ejected(std::size_t ejected, std::size_t all);
 
 // Why no target was chosen.
-enum class no_choice {
+enum class placement_failure {
     no_target,  // there is none
     saturated   // there are, and one more flow would be answered late on each of them
 };
@@ -43,7 +43,7 @@
 //
 // Targets of the instance's own zone come first: a packet to another zone takes longer, is priced
 // by the byte, and the flow breaks when the zones are cut off from each other.
-std::variant<std::size_t, no_choice> choose(std::span<const candidate> candidates,
-                                            std::uint64_t flow_hash, std::uint32_t copy);
+std::variant<std::size_t, placement_failure> choose(std::span<const candidate> candidates,
+                                                    std::uint64_t flow_hash, std::uint32_t copy);
 
 }  // namespace bramleytrack::steering
--- a/libraries/steering/turned_away.cpp
+++ b/libraries/steering/rejection_summary.cpp
@@ -1,9 +1,9 @@
-#include "steering/turned_away.h"
+#include "steering/rejection_summary.h"
 
 namespace bramleytrack::steering {
 
-void turned_away::add(std::string_view service, std::string_view decision, result_code reason,
-                      bool is_over_share) {
+void rejection_summary::add(std::string_view service, std::string_view decision, result_code reason,
+                            bool is_over_share) {
     const std::tuple cause{std::string{service}, std::string{decision}, reason};
     if (!counts_.contains(cause) && counts_.size() >= max_causes) {
         return;
@@ -13,7 +13,7 @@
     sum.over_share += is_over_share ? 1 : 0;
 }
 
-void turned_away::report(event_log& log, std::string_view zone, clock::time_point now) {
+void rejection_summary::report(event_log& log, std::string_view zone, clock::time_point now) {
     if (counts_.empty() || now - reported_at_ < interval) {
         return;
     }
--- a/libraries/steering/turned_away.h
+++ b/libraries/steering/rejection_summary.h
@@ -15,7 +15,7 @@
 
 namespace bramleytrack::steering {
 
-class turned_away {
+class rejection_summary {
 public:
     static constexpr clock::duration interval{1'000};
     // Operators name services, so there are few; more only bound the lines of a second.
--- a/libraries/steering/service_demand.cpp
+++ b/libraries/steering/service_demand.cpp
@@ -23,7 +23,7 @@
     return sum;
 }
 
-double service_demand::recent_more_urgent(int priority, clock::time_point now) const {
+double service_demand::recent_higher_priority(int priority, clock::time_point now) const {
     double sum = 0;
     for (const auto& [other, asked] : by_priority_) {
         sum += other < priority ? asked.recent(now) : 0;
--- a/libraries/steering/service_demand.h
+++ b/libraries/steering/service_demand.h
@@ -24,7 +24,7 @@
     // and less.
     double recent(clock::time_point now) const;
     // The same, of routes that are more urgent than that.
-    double recent_more_urgent(int priority, clock::time_point now) const;
+    double recent_higher_priority(int priority, clock::time_point now) const;
 
 private:
     struct decaying_count {
--- a/libraries/steering/steering.cpp
+++ b/libraries/steering/steering.cpp
@@ -48,18 +48,19 @@
 }  // namespace
 
 steering::steering(place here, const discovery::directory& known, cold_gate& cold,
-                   const load_view& loads, event_log& log, flow_observer& observer,
+                   const remote_load& loads, event_log& log, flow_observer& observer,
                    steering_limits limits)
     : place_{std::move(here)},
       known_{known},
       cold_{cold},
       loads_{loads},
-      picture_{known, flows_, loads},
+      load_estimate_{known, flows_, loads},
       log_{log, known, flows_, place_.zone},
       observer_{observer},
       limits_{limits} {}
 
-decision steering::on_segment(const segment& content, const belief& state, clock::time_point now) {
+decision steering::on_segment(const segment& content, const directory_state& state,
+                              clock::time_point now) {
     return content.is_opening ? on_opening(content, state, now)
                               : on_later_packet(content, state, now);
 }
@@ -70,7 +71,8 @@
     log_.report(now);
 }
 
-decision steering::on_opening(const segment& content, const belief& state, clock::time_point now) {
+decision steering::on_opening(const segment& content, const directory_state& state,
+                              clock::time_point now) {
     const auto* route = known_.find_route(content.flow.route);
     eligible_targets targets;
     const auto finish = [&](const decision& made) {
@@ -82,7 +84,7 @@
                       .route = route,
                       .made = made,
                       .candidates = targets.candidates.size(),
-                      .share_of_room = targets.share_of_room,
+                      .capacity_share = targets.capacity_share,
                       .use = targets.use},
                      now);
         return made;
@@ -98,8 +100,8 @@
                           ? decision{refuse{{.flow = content.flow}, result_code::unknown_route}}
                           : decision{drop{result_code::unknown_route}});
     }
-    flows_.note_asked(content.flow, now);
-    if (const auto* same = just_opened_on(content, now)) {
+    flows_.note_attempt(content.flow, now);
+    if (const auto* same = find_recent_opening(content, now)) {
         return finish(forward{same});
     }
     if (content.copy > 0) {
@@ -117,13 +119,13 @@
         targets = eligible(*pool, *route, content, now);
     }
     const auto choice = choose(targets.candidates, flow_hash, content.copy);
-    if (const auto* none = std::get_if<no_choice>(&choice)) {
+    if (const auto* none = std::get_if<placement_failure>(&choice)) {
         return finish(turn_away(content, *none, targets.is_any_cold, is_fresh));
     }
     const auto& target = *targets.candidates[std::get<std::size_t>(choice)].subject;
     cold_.note_opened(target, now);
     flows_.note_opening(content, target.token, now);
-    picture_.note_placed(target.entry.service);
+    load_estimate_.note_placed(target.entry.service);
     return finish(forward{&target});
 }
 
@@ -131,12 +133,12 @@
 // and it reads them within a few milliseconds. The copies look like targets that haven't answered:
 // most of them are shunned, callers are refused though targets are idle, and two targets take one
 // flow. Such a copy is the same opening, and goes to the same target.
-const discovery::target* steering::just_opened_on(const segment& content,
-                                                  clock::time_point now) const {
-    const auto token = content.copy > 0 ? flows_.just_opened_on(content, now) : std::nullopt;
+const discovery::target* steering::find_recent_opening(const segment& content,
+                                                       clock::time_point now) const {
+    const auto token = content.copy > 0 ? flows_.find_recent_opening(content, now) : std::nullopt;
     const auto* target = token.has_value() ? known_.find_target(*token) : nullptr;
     const bool may_take_it =
-        target != nullptr && picture_.may_take_flows(*target, now) && !target->is_cold(now);
+        target != nullptr && load_estimate_.accepts_flows(*target, now) && !target->is_cold(now);
     return may_take_it ? target : nullptr;
 }
 
@@ -144,9 +146,9 @@
 // refusal is true, since nothing has run. A cold target may take the copy of the packet in 200 ms,
 // so when all that could serve are cold, silence is better; and so it is while a target may have
 // come that isn't known here.
-decision steering::turn_away(const segment& content, no_choice reason, bool is_any_cold,
+decision steering::turn_away(const segment& content, placement_failure reason, bool is_any_cold,
                              bool is_fresh) {
-    if (reason == no_choice::saturated) {
+    if (reason == placement_failure::saturated) {
         return refuse{{.flow = content.flow}, result_code::queue_full};
     }
     if (is_fresh && !is_any_cold) {
@@ -155,7 +157,7 @@
     return drop{result_code::no_eligible_target};
 }
 
-decision steering::on_later_packet(const segment& content, const belief& state,
+decision steering::on_later_packet(const segment& content, const directory_state& state,
                                    clock::time_point now) {
     const auto finish = [&](const decision& made) {
         observer_.on_decision("established", made);
@@ -207,9 +209,9 @@
 // flows must have found it silent while this instance's path to others was sound, or it couldn't be
 // reached from several instances.
 void steering::end_flows_of(const discovery::target& target, clock::time_point now) {
-    const auto signs = flows_.signs(target.token);
+    const auto health = flows_.health(target.token);
     auto ended = flows_.end_flows_of(target.token);
-    log_.target_dead(target, signs, ended.size(), now);
+    log_.target_dead(target, health, ended.size(), now);
     for (const auto& each : ended) {
         const decision made = refuse{each, result_code::target_silent};
         observer_.on_decision("established", made);
@@ -219,27 +221,27 @@
 }
 
 std::vector<routing_token> steering::take_suspects(clock::time_point now) {
-    std::ranges::move(flows_.take_unfollowed(now), std::back_inserter(suspects_));
+    std::ranges::move(flows_.take_abandoned_openings(now), std::back_inserter(suspects_));
     return std::exchange(suspects_, {});
 }
 
 void steering::on_target_dead(const discovery::target& target, clock::time_point probed_at,
                               clock::time_point now) {
-    if (flows_.signs(target.token).answered_at >= probed_at) {
+    if (flows_.health(target.token).answered_at >= probed_at) {
         return;
     }
     flows_.note_dead(target.token, now + limits_.death_lifetime);
     end_flows_of(target, now);
 }
 
-void steering::on_target_said_dead(const discovery::target& target, clock::time_point until) {
-    flows_.note_said_dead(target.token, until);
+void steering::on_target_reported_dead(const discovery::target& target, clock::time_point until) {
+    flows_.note_reported_dead(target.token, until);
 }
 
 // Failure: a route is dropped and comes back. An instance that hasn't heard of its return resets a
 // flow that was opened through another one. So only flows that were seen here before the drop are
 // ended, and only on word that is fresh.
-bool steering::is_left_by_its_route(const segment& content, const belief& state,
+bool steering::is_left_by_its_route(const segment& content, const directory_state& state,
                                     clock::time_point now) const {
     const auto dropped_at = known_.dropped_at(content.flow.route);
     const auto* flow = flows_.find(content.flow);
@@ -259,7 +261,7 @@
     // The entry alone may be wrong: it lapses while the store is away, and can be taken away. A
     // live target acknowledges the second copy of data; one that drained before its entry went has
     // ended, and its caller needn't wait for the third.
-    const bool shows_no_life = flows_.signs(target.token).answered_at < target.changed_at;
+    const bool shows_no_life = flows_.health(target.token).answered_at < target.changed_at;
     const bool is_gone = !target.is_listed() && !target.presumed_alive_until.has_value();
     const int enough = target.gone == discovery::absence::left ? 1 : 2;
     if (is_gone && shows_no_life && seen.repeats >= enough) {
@@ -291,17 +293,18 @@
     return nullptr;
 }
 
-service_wants steering::wants_of(std::string_view service, clock::time_point now) const {
+service_demand_split steering::wants_of(std::string_view service, clock::time_point now) const {
     const auto found = demands_.find(service);
     return {.here = found == demands_.end() ? 0 : found->second.recent(now),
-            .elsewhere = loads_.wanted_elsewhere(service, now)};
+            .elsewhere = loads_.demand_remote(service, now)};
 }
 
-service_use steering::use_of(std::string_view service, clock::time_point now) {
+service_usage steering::use_of(std::string_view service, clock::time_point now) {
     const auto wants = wants_of(service, now);
     const auto* pool = known_.find_pool(service);
     constexpr auto anywhere = [](std::string_view /*zone*/) { return true; };
-    return pool == nullptr ? service_use{wants} : picture_.use_of(*pool, wants, anywhere, now);
+    return pool == nullptr ? service_usage{wants}
+                           : load_estimate_.use_of(*pool, wants, anywhere, now);
 }
 
 std::string_view steering::region_of(std::string_view zone) const {
@@ -317,14 +320,15 @@
 
 // When there isn't room for all, callers of a route that operators rank behind another one of the
 // service are turned away first, and so are callers that have more than their share already.
-double steering::share_of_room(const discovery::pool& pool, const discovery::route& route,
-                               const flow_key& flow, clock::time_point now) const {
+double steering::capacity_share(const discovery::pool& pool, const discovery::route& route,
+                                const flow_key& flow, clock::time_point now) const {
     const auto asked = demands_.find(pool.description.name);
-    const bool yields = asked != demands_.end() &&
-                        asked->second.recent_more_urgent(route.priority, now) >= demand_to_yield_to;
+    const bool yields =
+        asked != demands_.end() &&
+        asked->second.recent_higher_priority(route.priority, now) >= min_higher_priority_demand;
     double share = 1;
-    share *= yields ? room_of_less_urgent : 1;
-    share *= flows_.callers().is_heavy(flow.caller.address) ? room_of_heavy_callers : 1;
+    share *= yields ? lower_priority_capacity_share : 1;
+    share *= flows_.callers().is_heavy(flow.caller.address) ? heavy_caller_capacity_share : 1;
     return share;
 }
 
@@ -332,7 +336,8 @@
                                                           const discovery::route& route,
                                                           std::uint64_t flow_hash) const {
     enum tier : std::size_t { near, in_region, far, tiers };
-    constexpr std::array<std::size_t, tiers> samples{near_sample, region_sample, far_sample};
+    constexpr std::array<std::size_t, tiers> samples{same_zone_sample_size, same_region_sample_size,
+                                                     remote_region_sample_size};
     std::array<std::vector<std::span<discovery::target* const>>, tiers> lists;
     for (const auto& [zone, targets] : pool.by_zone) {
         if (!is_allowed(route, zone) || known_.is_zone_out(zone)) {
@@ -353,11 +358,11 @@
                                               const discovery::route& route, const segment& content,
                                               clock::time_point now) {
     eligible_targets result;
-    result.share_of_room = share_of_room(pool, route, content.flow, now);
-    result.use = picture_.use_of(
+    result.capacity_share = capacity_share(pool, route, content.flow, now);
+    result.use = load_estimate_.use_of(
         pool, wants_of(pool.description.name, now),
         [this, &route](std::string_view zone) { return is_allowed(route, zone); }, now);
-    const bool has_service_room = has_room(result.use, result.share_of_room);
+    const bool has_service_room = has_room(result.use, result.capacity_share);
     for (const auto* each : looked_at(pool, route, hash_of_flow(content))) {
         if (!each->takes_flows(now)) {
             continue;
@@ -369,15 +374,15 @@
             result.is_any_cold = true;
             continue;
         }
-        const auto use = picture_.use_of(*each, now);
+        const auto use = load_estimate_.use_of(*each, now);
         result.candidates.push_back(
             {.subject = each,
-             .is_in_region = region_of(each->entry.zone) == region_of(place_.zone),
+             .is_in_same_region = region_of(each->entry.zone) == region_of(place_.zone),
              .is_near = each->entry.zone == place_.zone,
-             .is_shunned = picture_.is_shunned(*each, now),
-             .has_room = has_service_room && has_room(use, result.share_of_room),
+             .is_ejected = load_estimate_.is_ejected(*each, now),
+             .has_room = has_service_room && has_room(use, result.capacity_share),
              .load = (use.here + use.elsewhere + 1) / use.slots,
-             .answer_ms = flows_.signs(each->token).answer_ms});
+             .answer_ms = flows_.health(each->token).answer_ms});
     }
     weigh_by_answer_time(result.candidates);
     return result;
--- a/libraries/steering/steering.h
+++ b/libraries/steering/steering.h
@@ -20,10 +20,10 @@
 #include "steering/cold_gate.h"
 #include "steering/decision.h"
 #include "steering/decision_log.h"
-#include "steering/flow_watch.h"
-#include "steering/load_picture.h"
-#include "steering/load_view.h"
+#include "steering/flow_tracker.h"
+#include "steering/load_estimate.h"
 #include "steering/placement.h"
+#include "steering/remote_load.h"
 #include "steering/segment.h"
 #include "steering/service_demand.h"
 
@@ -61,10 +61,12 @@
 
 class steering {
 public:
-    steering(place here, const discovery::directory& known, cold_gate& cold, const load_view& loads,
-             event_log& log, flow_observer& observer, steering_limits limits = {});
+    steering(place here, const discovery::directory& known, cold_gate& cold,
+             const remote_load& loads, event_log& log, flow_observer& observer,
+             steering_limits limits = {});
 
-    decision on_segment(const segment& content, const belief& state, clock::time_point now);
+    decision on_segment(const segment& content, const directory_state& state,
+                        clock::time_point now);
     // Resets of other flows than those of the packets that brought them about, for the daemon to
     // send.
     std::vector<reset> take_resets() { return std::exchange(resets_, {}); }
@@ -75,40 +77,43 @@
     void on_target_dead(const discovery::target& target, clock::time_point probed_at,
                         clock::time_point now);
     // A peer says so: it gets no new flows until then.
-    void on_target_said_dead(const discovery::target& target, clock::time_point until);
+    void on_target_reported_dead(const discovery::target& target, clock::time_point until);
     void on_target_reached(const discovery::target& target) { flows_.note_reached(target.token); }
     void expire(clock::time_point now);
 
-    const flow_watch& flows() const { return flows_; }
+    const flow_tracker& flows() const { return flows_; }
     // What callers ask of each service through this instance.
     const demand_by_service& demands() const { return demands_; }
     // What is asked of the service and its targets, for the metrics. Admission of one flow leaves
     // out what its route or a cold start bars, and may count shunned targets.
-    service_use use_of(std::string_view service, clock::time_point now);
+    service_usage use_of(std::string_view service, clock::time_point now);
 
 private:
-    decision on_opening(const segment& content, const belief& state, clock::time_point now);
+    decision on_opening(const segment& content, const directory_state& state,
+                        clock::time_point now);
     // The targets that may take a flow now, and what is asked of all together.
     struct eligible_targets {
         std::vector<candidate> candidates;
-        service_use use;
-        bool is_any_cold = false;  // and barred for that reason alone
-        double share_of_room = 1;  // that this flow may use
+        service_usage use;
+        bool is_any_cold = false;   // and barred for that reason alone
+        double capacity_share = 1;  // that this flow may use
     };
 
-    const discovery::target* just_opened_on(const segment& content, clock::time_point now) const;
-    static decision turn_away(const segment& content, no_choice reason, bool is_any_cold,
+    const discovery::target* find_recent_opening(const segment& content,
+                                                 clock::time_point now) const;
+    static decision turn_away(const segment& content, placement_failure reason, bool is_any_cold,
                               bool is_fresh);
-    decision on_later_packet(const segment& content, const belief& state, clock::time_point now);
+    decision on_later_packet(const segment& content, const directory_state& state,
+                             clock::time_point now);
     void end_flows_of(const discovery::target& target, clock::time_point now);
-    bool is_left_by_its_route(const segment& content, const belief& state,
+    bool is_left_by_its_route(const segment& content, const directory_state& state,
                               clock::time_point now) const;
     std::optional<result_code> hopeless(const discovery::target& target,
                                         const discovery::route* route,
                                         const observation& seen) const;
     const discovery::pool* pool_of(const discovery::route& route, std::uint64_t flow_hash) const;
-    double share_of_room(const discovery::pool& pool, const discovery::route& route,
-                         const flow_key& flow, clock::time_point now) const;
+    double capacity_share(const discovery::pool& pool, const discovery::route& route,
+                          const flow_key& flow, clock::time_point now) const;
     eligible_targets eligible(const discovery::pool& pool, const discovery::route& route,
                               const segment& content, clock::time_point now);
     // The targets that an opening looks at, those of the own zone first.
@@ -117,14 +122,14 @@
                                                     std::uint64_t flow_hash) const;
     std::string_view region_of(std::string_view zone) const;
     bool is_allowed(const discovery::route& route, std::string_view zone) const;
-    service_wants wants_of(std::string_view service, clock::time_point now) const;
+    service_demand_split wants_of(std::string_view service, clock::time_point now) const;
 
     place place_;
     const discovery::directory& known_;
     cold_gate& cold_;
-    const load_view& loads_;
-    flow_watch flows_;
-    load_picture picture_;
+    const remote_load& loads_;
+    flow_tracker flows_;
+    load_estimate load_estimate_;
     demand_by_service demands_;  // of services of the catalogue
     std::vector<reset> resets_;
     std::vector<routing_token> suspects_;
--- a/libraries/steering/target_sample.h
+++ b/libraries/steering/target_sample.h
@@ -15,10 +15,10 @@
 
 // So many of the own zone's targets are looked at. With a third of them dead or full, all of a
 // sample are once in ten million openings.
-constexpr std::size_t near_sample = 16;
+constexpr std::size_t same_zone_sample_size = 16;
 // Those of the own region, and of all others, are only wanted when the own zone can't take a flow.
-constexpr std::size_t region_sample = 16;
-constexpr std::size_t far_sample = 8;
+constexpr std::size_t same_region_sample_size = 16;
+constexpr std::size_t remote_region_sample_size = 8;
 
 // Up to `most` targets of all the lists together. `flow_hash` decides which, so that instances with
 // the same lists look at the same ones.
--- a/libraries/store/feed.cpp
+++ b/libraries/store/feed.cpp
@@ -37,7 +37,7 @@
     }
 }
 
-void feed::read_anew(clock::time_point now) {
+void feed::reread(clock::time_point now) {
     if (phase_ == phase::reading) {
         return;
     }
@@ -105,19 +105,19 @@
     ++calls_;
     store_.watch(everything, known_.revision(), limits_.watch_wait,
                  limits_.watch_wait + limits_.watch_slack,
-                 [this, attempt, sent](const outcome<news>& answer, clock::time_point now) {
+                 [this, attempt, sent](const outcome<watch_result>& answer, clock::time_point now) {
                      on_news(attempt, sent, answer, now);
                  });
 }
 
-void feed::on_news(std::int64_t attempt, clock::time_point sent, const outcome<news>& answer,
-                   clock::time_point now) {
+void feed::on_news(std::int64_t attempt, clock::time_point sent,
+                   const outcome<watch_result>& answer, clock::time_point now) {
     if (attempt != watch_attempt_) {
         return;
     }
     phase_ = phase::idle;
     watch_attempt_ = 0;
-    const auto* part = std::get_if<news>(&answer);
+    const auto* part = std::get_if<watch_result>(&answer);
     if (part == nullptr) {
         // Whatever the reason, changes may have been missed.
         must_read_ = true;
@@ -137,10 +137,10 @@
     publish(changes, now);
     const bool is_early = part->events.empty() && (now - sent) * 2 < limits_.watch_wait;
     const auto pause_if_empty = is_early ? limits_.after_early_answer : clock::duration{0};
-    const auto pause_after_news =
-        std::min(limits_.longest_pause_after_news,
-                 limits_.pause_after_news * static_cast<std::int64_t>(watchers_));
-    next_start_ = now + (part->events.empty() ? pause_if_empty : pause_after_news);
+    const auto pause_after_events =
+        std::min(limits_.max_pause_after_events,
+                 limits_.pause_after_events * static_cast<std::int64_t>(watchers_));
+    next_start_ = now + (part->events.empty() ? pause_if_empty : pause_after_events);
 }
 
 void feed::succeed(clock::time_point now) {
--- a/libraries/store/feed.h
+++ b/libraries/store/feed.h
@@ -33,9 +33,9 @@
     clock::duration watch_slack{400};
     // Changes come in groups (a release, a start of the fleet); each answer of a watch is a priced
     // call.
-    clock::duration pause_after_news{200};
+    clock::duration pause_after_events{200};
     // However many instances watch: half of the time that a change has to be in force everywhere.
-    clock::duration longest_pause_after_news{1'000};
+    clock::duration max_pause_after_events{1'000};
     // Failure: a store that can't watch answers each one at once, without news, and the next would
     // follow at once. Two reads a second keep the word on everything young enough.
     clock::duration after_early_answer{500};
@@ -61,14 +61,14 @@
     void tick(clock::time_point now);
     // Whether new watches begin: an instance that hears from a peer what the store holds needs
     // none.
-    void set_wanted(bool is_wanted) { is_wanted_ = is_wanted; }
+    void set_watch_enabled(bool is_wanted) { is_wanted_ = is_wanted; }
     // How many instances are likely to watch. Each pauses for so much longer after news: together
     // they cost what one does, and one of them hears of a change as soon as that one would.
-    void set_watchers(std::size_t number) { watchers_ = std::max<std::size_t>(number, 1); }
+    void set_expected_watchers(std::size_t number) { watchers_ = std::max<std::size_t>(number, 1); }
     // Whether it waits until it watches again, and had better ask a peer for news meanwhile.
     bool is_pausing() const { return is_complete_ && phase_ == phase::idle; }
     // Something suggests that the watch is deaf: reads everything now.
-    void read_anew(clock::time_point now);
+    void reread(clock::time_point now);
 
     // Whether everything was read at least once.
     bool is_complete() const { return is_complete_; }
@@ -93,7 +93,7 @@
     void on_page(std::int64_t attempt, clock::time_point sent, const outcome<page>& answer,
                  clock::time_point now);
     void start_watch(clock::time_point sent);
-    void on_news(std::int64_t attempt, clock::time_point sent, const outcome<news>& answer,
+    void on_news(std::int64_t attempt, clock::time_point sent, const outcome<watch_result>& answer,
                  clock::time_point now);
     void succeed(clock::time_point now);
     void fail(result_code reason, clock::time_point now);
--- a/libraries/store/key_watch.cpp
+++ b/libraries/store/key_watch.cpp
@@ -27,9 +27,9 @@
 void key_watch::read() {
     must_read_ = false;
     store_.get(key_, limits_.read_limit,
-               [this](const outcome<found_item>& answer, clock::time_point now) {
+               [this](const outcome<lookup_result>& answer, clock::time_point now) {
                    is_waiting_ = false;
-                   const auto* part = std::get_if<found_item>(&answer);
+                   const auto* part = std::get_if<lookup_result>(&answer);
                    if (part == nullptr) {
                        must_read_ = true;
                        fail(std::get<result_code>(answer), now);
@@ -46,9 +46,9 @@
 
 void key_watch::watch(clock::time_point sent) {
     store_.watch(key_, seen_, limits_.wait, limits_.wait + limits_.slack,
-                 [this, sent](const outcome<news>& answer, clock::time_point now) {
+                 [this, sent](const outcome<watch_result>& answer, clock::time_point now) {
                      is_waiting_ = false;
-                     const auto* part = std::get_if<news>(&answer);
+                     const auto* part = std::get_if<watch_result>(&answer);
                      if (part == nullptr) {
                          fail(std::get<result_code>(answer), now);
                          return;
--- a/libraries/store/key_watch.h
+++ b/libraries/store/key_watch.h
@@ -40,7 +40,7 @@
     // Starts the next call when it is due.
     void tick(clock::time_point now);
     // The key is read again though nothing newer was written, and its value is told again.
-    void read_anew() { must_read_ = true; }
+    void reread() { must_read_ = true; }
 
 private:
     void read();
--- a/libraries/store/mirror.cpp
+++ b/libraries/store/mirror.cpp
@@ -123,8 +123,8 @@
     }
 }
 
-std::vector<ended_item> mirror::ended_items() const {
-    std::vector<ended_item> result;
+std::vector<removed_item> mirror::removed_items() const {
+    std::vector<removed_item> result;
     for (const auto& [key, known] : entries_) {
         if (known.is_removed && !known.value.empty()) {
             result.push_back(
@@ -135,7 +135,7 @@
     return result;
 }
 
-std::vector<event> mirror::learn_ended(std::span<const ended_item> told) {
+std::vector<event> mirror::apply_removed_items(std::span<const removed_item> told) {
     std::vector<event> changed;
     for (const auto& each : told) {
         // Whatever is known of a key here is newer, or was told by another peer.
--- a/libraries/store/mirror.h
+++ b/libraries/store/mirror.h
@@ -18,11 +18,11 @@
 namespace bramleytrack::store {
 
 // A key that is gone, and what stood there last.
-struct ended_item {
+struct removed_item {
     item last;
     std::int64_t removed_at = 0;  // revision
 
-    bool operator==(const ended_item&) const = default;
+    bool operator==(const removed_item&) const = default;
 };
 
 class mirror {
@@ -31,9 +31,9 @@
     using value_filter = std::function<bool(std::string_view key, std::size_t size)>;
 
     // Failure: other writers share the store, and their values, up to a megabyte each, would fill
-    // the memory here and be passed on to every peer. Of what `is_of_use` leaves out only the key
+    // the memory here and be passed on to every peer. Of what `is_relevant` leaves out only the key
     // and its revision are kept.
-    explicit mirror(value_filter is_of_use = nullptr) : is_of_use_{std::move(is_of_use)} {}
+    explicit mirror(value_filter is_relevant = nullptr) : is_of_use_{std::move(is_relevant)} {}
 
     // Applies what is new and returns just that.
     std::vector<event> apply(std::span<const event> events);
@@ -53,10 +53,10 @@
     std::optional<std::vector<event>> changes_since(std::int64_t revision) const;
     // The newest keys that went, for an instance that has just started: entries are also taken away
     // from targets that live, and their flows go on.
-    std::vector<ended_item> ended_items() const;
+    std::vector<removed_item> removed_items() const;
     // Takes over what isn't known here, and returns it as events: first what stood there, then its
     // removal.
-    std::vector<event> learn_ended(std::span<const ended_item> told);
+    std::vector<event> apply_removed_items(std::span<const removed_item> told);
     std::size_t size() const { return entries_.size(); }
 
 private:
--- a/libraries/store/store.h
+++ b/libraries/store/store.h
@@ -32,7 +32,7 @@
 };
 
 // What stands under one key; nothing when the key doesn't exist.
-struct found_item {
+struct lookup_result {
     std::optional<item> content;
     std::int64_t revision = 0;  // the store's revision when it answered
 };
@@ -50,7 +50,7 @@
     return std::visit([](const auto& each) { return each.revision; }, subject);
 }
 
-struct news {
+struct watch_result {
     std::vector<event> events;
     std::int64_t revision = 0;  // the next watch continues after this one
 };
@@ -102,13 +102,13 @@
     client& operator=(const client&) = delete;
     virtual ~client() = default;
 
-    virtual void get(std::string_view key, clock::duration limit, callback<found_item> done) = 0;
+    virtual void get(std::string_view key, clock::duration limit, callback<lookup_result> done) = 0;
     // Items whose key begins with `prefix` and sorts after `after_key`.
     virtual void range(std::string_view prefix, std::string_view after_key,
                        read_freshness freshness, clock::duration limit, callback<page> done) = 0;
     // Answers at the first change after `revision`, or without events after `wait`.
     virtual void watch(std::string_view prefix, std::int64_t revision, clock::duration wait,
-                       clock::duration limit, callback<news> done) = 0;
+                       clock::duration limit, callback<watch_result> done) = 0;
     virtual void commit(const transaction& wanted, clock::duration limit,
                         callback<committed> done) = 0;
     virtual void grant_lease(clock::duration lifetime, clock::duration limit,
--- a/services/bramleybench/overload_fleet.cpp
+++ b/services/bramleybench/overload_fleet.cpp
@@ -87,8 +87,8 @@
     auto& made = instances_.emplace_back();
     made.name = name;
     made.actions = std::make_unique<checks>(*this, number);
-    made.inquiries =
-        std::make_unique<fleet::target_inquiries>(known_, name, zone_name(zone), *made.actions);
+    made.inquiries = std::make_unique<fleet::target_failure_detector>(known_, name, zone_name(zone),
+                                                                      *made.actions);
     made.digests = std::make_unique<fleet::peer_digests>(known_, name, zone_name(zone), 1);
     made.cold = std::make_unique<steering::cold_gate>(name);
     made.core = std::make_unique<steering::steering>(
@@ -122,8 +122,8 @@
             auto& to = instances_[number_of_.at(receiver->name)];
             to.digests->on_digest(from.name, content, now);
             for (const auto& each : dead) {
-                const bool has_flows = to.core->flows().signs(each.token).flows > 0;
-                to.inquiries->on_said_dead(from.name, each, has_flows, now);
+                const bool has_flows = to.core->flows().health(each.token).flows > 0;
+                to.inquiries->on_reported_dead(from.name, each, has_flows, now);
             }
         }
     }
@@ -154,7 +154,7 @@
 void overload_fleet::checks::ask(const discovery::peer_entry& peer,
                                  discovery::routing_token token) {
     auto& asked = fleet_.instances_[fleet_.number_of_.at(peer.name)];
-    asked.inquiries->on_question(fleet_.instances_[number_].name, token, fleet_.now_);
+    asked.inquiries->on_probe_request(fleet_.instances_[number_].name, token, fleet_.now_);
 }
 
 void overload_fleet::checks::answer(const discovery::peer_entry& peer,
@@ -169,9 +169,9 @@
     fleet_.core(number_).on_target_dead(target, probed_at, now);
 }
 
-void overload_fleet::checks::on_said_dead(const discovery::target& target,
-                                          clock::time_point until) {
-    fleet_.core(number_).on_target_said_dead(target, until);
+void overload_fleet::checks::on_reported_dead(const discovery::target& target,
+                                              clock::time_point until) {
+    fleet_.core(number_).on_target_reported_dead(target, until);
 }
 
 void overload_fleet::checks::on_reached(const discovery::target& target) {
--- a/services/bramleybench/overload_fleet.h
+++ b/services/bramleybench/overload_fleet.h
@@ -14,7 +14,7 @@
 #include "base/clock.h"
 #include "discovery/directory.h"
 #include "fleet/peer_digests.h"
-#include "fleet/target_inquiry.h"
+#include "fleet/target_failure_detector.h"
 #include "overload_experiment.h"
 #include "steering/steering.h"
 
@@ -67,7 +67,7 @@
     };
 
     // What an instance does in the course of an inquiry.
-    class checks final : public fleet::inquiry_actions {
+    class checks final : public fleet::failure_detector_actions {
     public:
         checks(overload_fleet& fleet, std::size_t number) : fleet_{fleet}, number_{number} {}
 
@@ -77,7 +77,7 @@
                     bool is_reachable) override;
         void on_dead(const discovery::target& target, clock::time_point probed_at,
                      std::span<const std::string> confirmed_by, clock::time_point now) override;
-        void on_said_dead(const discovery::target& target, clock::time_point until) override;
+        void on_reported_dead(const discovery::target& target, clock::time_point until) override;
         void on_reached(const discovery::target& target) override;
 
     private:
@@ -88,7 +88,7 @@
     struct instance {
         std::string name;
         std::unique_ptr<checks> actions;
-        std::unique_ptr<fleet::target_inquiries> inquiries;
+        std::unique_ptr<fleet::target_failure_detector> inquiries;
         std::unique_ptr<fleet::peer_digests> digests;
         std::unique_ptr<steering::cold_gate> cold;
         std::unique_ptr<steering::steering> core;
--- a/services/bramleybench/placement_experiment.cpp
+++ b/services/bramleybench/placement_experiment.cpp
@@ -39,7 +39,7 @@
         open_.resize(count);
         by_member_.assign(members, std::vector<int>(count));
         const auto homes = static_cast<std::size_t>(pattern.homes);
-        heard_.resize(count);
+        received_.resize(count);
         memories_.resize(homes);
         for (std::size_t home = 0; home < homes; ++home) {
             next_beat_.push_back(std::uniform_real_distribution<>{0, beat_ms}(random_));
@@ -95,7 +95,7 @@
             }
             next_beat_[home] += beat_ms;
             for (std::size_t target = home; target < open_.size(); target += next_beat_.size()) {
-                heard_[target] = open_[target];
+                received_[target] = open_[target];
                 for (auto& memory : memories_) {
                     memory.note_report(configuration_.targets[target].name);
                 }
@@ -115,7 +115,7 @@
             const bool is_own = home_of(index) == home;
             const int since =
                 choice_.counts_own ? memories_[home].placed_since_report(each->name) : 0;
-            const int load = is_own ? open_[index] : heard_[index] + since;
+            const int load = is_own ? open_[index] : received_[index] + since;
             candidates.push_back({.is_eligible = true, .relative_load = load / each->weight});
         }
         const auto order = load::order_of_candidates(candidates, choice_.threshold);
@@ -168,8 +168,8 @@
     const placement_choice& choice_;
     std::mt19937_64 random_;
     configuration::configuration configuration_;
-    std::vector<int> open_;   // by target
-    std::vector<int> heard_;  // by target, as of its owner's last heartbeat
+    std::vector<int> open_;      // by target
+    std::vector<int> received_;  // by target, as of its owner's last heartbeat
     std::vector<std::vector<int>> by_member_;
     std::vector<load::placement_memory> memories_;  // by home
     std::vector<double> next_beat_;                 // by home
--- a/services/bramleyctl/commands.cpp
+++ b/services/bramleyctl/commands.cpp
@@ -195,7 +195,7 @@
     // Nothing when the store didn't answer.
     std::optional<stored_text> read_text() {
         const auto answer = session_.read(configuration::store_key);
-        const auto* part = std::get_if<store::found_item>(&answer);
+        const auto* part = std::get_if<store::lookup_result>(&answer);
         if (part == nullptr) {
             return std::nullopt;
         }
--- a/services/bramleyctl/store_session.cpp
+++ b/services/bramleyctl/store_session.cpp
@@ -44,10 +44,10 @@
     return result;
 }
 
-store::outcome<store::found_item> store_session::read(std::string_view key) {
-    store::outcome<store::found_item> result;
+store::outcome<store::lookup_result> store_session::read(std::string_view key) {
+    store::outcome<store::lookup_result> result;
     store_.get(key, timeout_,
-               [&](const store::outcome<store::found_item>& answer, clock::time_point /*now*/) {
+               [&](const store::outcome<store::lookup_result>& answer, clock::time_point /*now*/) {
                    result = answer;
                    loop_.break_loop(ev::ONE);
                });
@@ -86,7 +86,7 @@
                                                                          std::string_view id) {
     using configuration::write_outcome;
     const auto now = read(key);
-    const auto* part = std::get_if<store::found_item>(&now);
+    const auto* part = std::get_if<store::lookup_result>(&now);
     if (part == nullptr || !part->content) {
         return std::nullopt;
     }
--- a/services/bramleyctl/store_session.h
+++ b/services/bramleyctl/store_session.h
@@ -27,7 +27,7 @@
     // Without a valid numeric ip:port every call fails.
     store_session(std::string_view address, clock::duration timeout);
 
-    store::outcome<store::found_item> read(std::string_view key);
+    store::outcome<store::lookup_result> read(std::string_view key);
 
     // Writes when the key still has version `expected` (0: must not exist). A value's version is
     // the store's revision of its last write. `id` is the value's newest mark (see
--- a/services/bramleyd/balancer_daemon.cpp
+++ b/services/bramleyd/balancer_daemon.cpp
@@ -94,7 +94,7 @@
         ask_instance_list();
     }
     if (core_.take_store_wanted()) {
-        configuration_.read_anew();
+        configuration_.reread();
     }
     configuration_.tick(now);
     core_.on_tick(now);
--- a/services/bramleyd/peer_exchange.cpp
+++ b/services/bramleyd/peer_exchange.cpp
@@ -170,8 +170,9 @@
         return;
     }
     if (request.path == ended_path) {
-        respond(
-            {.status = http_ok, .body = ended_items(), .content_type = "application/octet-stream"});
+        respond({.status = http_ok,
+                 .body = removed_items(),
+                 .content_type = "application/octet-stream"});
         return;
     }
     const auto text = request.query_or("after", "0");
@@ -211,10 +212,10 @@
     return kept_answer_;
 }
 
-std::string peer_exchange::ended_items() const {
+std::string peer_exchange::removed_items() const {
     wire::store_changes answer;
     answer.revision = mirror_.revision();
-    for (const auto& each : mirror_.ended_items()) {
+    for (const auto& each : mirror_.removed_items()) {
         auto& record = answer.records.emplace_back();
         record.key = each.last.key;
         record.value = each.last.value;
@@ -240,7 +241,7 @@
             ? wire::decode_store_changes(answer.body, key_)
             : std::variant<wire::store_changes, result_code>{result_code::store_unavailable};
     const auto* changes = std::get_if<wire::store_changes>(&decoded);
-    std::vector<store::ended_item> told;
+    std::vector<store::removed_item> told;
     if (changes != nullptr) {
         for (const auto& each : changes->records) {
             told.push_back(
@@ -316,7 +317,7 @@
                 store::item{.key = each.key, .value = each.value, .revision = each.revision});
         }
     }
-    if (log_.admits(log_kind::belief, now)) {
+    if (log_.admits(log_kind::state_change, now)) {
         log_.write(log_event{"pulled"}
                        .with("peer", peer)
                        .with("revision", result.revision)
--- a/services/bramleyd/peer_exchange.h
+++ b/services/bramleyd/peer_exchange.h
@@ -11,8 +11,8 @@
 
 #include "base/event_log.h"
 #include "fleet/peer_digests.h"
-#include "fleet/sources.h"
-#include "fleet/target_inquiry.h"
+#include "fleet/target_failure_detector.h"
+#include "fleet/update_source_selector.h"
 #include "net/http_client.h"
 #include "net/http_server.h"
 #include "net/udp_endpoint.h"
@@ -61,11 +61,11 @@
                            clock::time_point now)>;
     // A peer asks whether a target can be reached from here, or answers that, or tells of dead
     // ones.
-    void on_question(question_callback callback) { question_ = std::move(callback); }
+    void on_probe_request(question_callback callback) { question_ = std::move(callback); }
     void on_answer(answer_callback callback) { answer_ = std::move(callback); }
     void on_verdicts(verdicts_callback callback) { verdicts_ = std::move(callback); }
     // Where digests take the dead targets from that they tell of.
-    void tell_verdicts_of(fleet::target_inquiries& inquiries) { inquiries_ = &inquiries; }
+    void tell_verdicts_of(fleet::target_failure_detector& inquiries) { inquiries_ = &inquiries; }
     void ask_whether_reachable(const discovery::peer_entry& peer, discovery::routing_token token);
     void tell_whether_reachable(const discovery::peer_entry& peer, discovery::routing_token token,
                                 bool is_reachable);
@@ -76,7 +76,7 @@
     void fetch(const fleet::pull& from, clock::time_point now);
     // Asks a peer which keys have ended lately; `done` is called in any case.
     using ended_callback =
-        std::function<void(std::span<const store::ended_item> told, clock::time_point now)>;
+        std::function<void(std::span<const store::removed_item> told, clock::time_point now)>;
     void ask_for_ended(const fleet::pull& from, ended_callback done);
     // Asks one of the seeds, for a start while the store is away.
     void fetch_from_seed(clock::time_point now);
@@ -89,7 +89,7 @@
     wire::peer_message message() const;
     void serve(const net::http_request& request, const net::http_responder& respond);
     const std::string& changes_since(std::int64_t after);
-    std::string ended_items() const;
+    std::string removed_items() const;
     void on_ended(const std::string& peer, const net::http_result& answer,
                   const ended_callback& done);
     void on_answer(const std::string& peer, const net::http_result& answer, clock::time_point sent);
@@ -105,7 +105,7 @@
     question_callback question_;
     answer_callback answer_;
     verdicts_callback verdicts_;
-    fleet::target_inquiries* inquiries_ = nullptr;
+    fleet::target_failure_detector* inquiries_ = nullptr;
     net::udp_endpoint digests_socket_;
     net::http_server pull_server_;
     net::http_client http_;
--- a/services/bramleyd/belief_log.cpp
+++ b/services/bramleyd/record_log.cpp
@@ -1,4 +1,4 @@
-#include "belief_log.h"
+#include "record_log.h"
 
 #include "base/result_code.h"
 
--- a/services/bramleyd/steering_daemon.cpp
+++ b/services/bramleyd/steering_daemon.cpp
@@ -5,8 +5,8 @@
 #include <iterator>
 
 #include "base/hash.h"
-#include "belief_log.h"
 #include "net/udp_endpoint.h"
+#include "record_log.h"
 
 namespace bramleytrack {
 namespace {
@@ -48,13 +48,13 @@
       parts_{std::move(parts)},
       loop_{loop},
       mirror_{[&records = parts_.records](std::string_view key, std::size_t size) {
-          return records.is_of_use(key, size);
+          return records.is_relevant(key, size);
       }},
       directory_{{.flow_lifetime = settings_.flow_lifetime}},
       cold_{settings_.name},
       digests_{directory_, settings_.name, settings_.zone, seed_of(settings_.name)},
-      sources_{directory_, digests_, settings_.name},
-      newcomer_{directory_, settings_.name},
+      update_source_{directory_, digests_, settings_.name},
+      startup_recovery_{directory_, settings_.name},
       steering_{{.zone = settings_.zone, .regions = settings_.zones},
                 directory_,
                 cold_,
@@ -132,11 +132,11 @@
         log_.write(log_event{"paused"}.with("for_ms", pause.count()));
     }
     if (pause >= pause_to_read_anew) {
-        feed_.read_anew(now);
+        feed_.reread(now);
     }
     consult_peers(now);
     feed_.tick(now);
-    if (is_informed_ && !stop_.is_begun()) {
+    if (has_initial_state_ && !stop_.is_begun()) {
         registration_.tick(now);
         ask_what_ended();
     }
@@ -162,7 +162,7 @@
     if (segment->is_opening && pauses_.is_catching_up(now)) {
         return;
     }
-    const auto decision = steering_.on_segment(*segment, belief(), now);
+    const auto decision = steering_.on_segment(*segment, directory_state(), now);
     if (const auto* wanted = std::get_if<steering::forward>(&decision)) {
         send_forward(datagram, *wanted->to);
     } else if (const auto* refused = std::get_if<steering::refuse>(&decision)) {
@@ -190,21 +190,22 @@
     packets_.queue(wanted.flow.caller.address, caller_port_, part.size());
 }
 
-steering::belief steering_daemon::belief() const {
-    return {.is_complete = is_informed_ && directory_.has_catalogue(), .confirmed = confirmed_at_};
+steering::directory_state steering_daemon::directory_state() const {
+    return {.is_complete = has_initial_state_ && directory_.has_catalogue(),
+            .confirmed = confirmed_at_};
 }
 
 void steering_daemon::consult_peers(clock::time_point now) {
     digests_.expire(now);
-    confirmed_at_ = sources_.confirmed_at(feed_, mirror_.revision());
-    cold_.set_isolated(sources_.is_isolated(feed_, now));
-    const bool should_watch = sources_.should_watch(feed_, now);
-    feed_.set_wanted(should_watch);
-    feed_.set_watchers(sources_.expected_watchers(now));
-    if (!is_informed_) {
+    confirmed_at_ = update_source_.confirmed_at(feed_, mirror_.revision());
+    cold_.set_isolated(update_source_.is_isolated(feed_, now));
+    const bool should_watch = update_source_.should_watch(feed_, now);
+    feed_.set_watch_enabled(should_watch);
+    feed_.set_expected_watchers(update_source_.expected_watchers(now));
+    if (!has_initial_state_) {
         exchange_.fetch_from_seed(now);
-    } else if (const auto wanted = sources_.wanted_pull(mirror_.revision(),
-                                                        should_watch && !feed_.is_pausing(), now)) {
+    } else if (const auto wanted = update_source_.next_pull(
+                   mirror_.revision(), should_watch && !feed_.is_pausing(), now)) {
         exchange_.fetch(*wanted, now);
     }
     const bool has_lost_store = feed_.failed_at() != clock::time_point{};
@@ -216,20 +217,20 @@
 }
 
 void steering_daemon::ask_what_ended() {
-    const auto peer = newcomer_.next();
+    const auto peer = startup_recovery_.next();
     if (!peer) {
         return;
     }
     exchange_.ask_for_ended(
-        *peer, [this](std::span<const store::ended_item> told, clock::time_point now) {
-            newcomer_.on_answer();
+        *peer, [this](std::span<const store::removed_item> told, clock::time_point now) {
+            startup_recovery_.on_answer();
             // Only targets have flows that go on; peers and zones that went are gone.
-            std::vector<store::ended_item> targets;
+            std::vector<store::removed_item> targets;
             std::ranges::copy_if(told, std::back_inserter(targets), [this](const auto& each) {
                 return std::holds_alternative<discovery::target_entry>(
                     parts_.records.read(each.last.key, each.last.value));
             });
-            take_changes(mirror_.learn_ended(targets), now);
+            take_changes(mirror_.apply_removed_items(targets), now);
         });
 }
 
@@ -237,18 +238,18 @@
     const auto changed = changes.is_whole ? mirror_.replace(changes.items, changes.revision)
                                           : mirror_.apply(changes.events);
     mirror_.advance(changes.revision);
-    sources_.note_pulled(changes.confirmed);
+    update_source_.note_pulled(changes.confirmed);
     on_store_change(changed, now);
 }
 
 void steering_daemon::on_store_change(std::span<const store::event> events, clock::time_point now) {
-    if (!is_informed_) {
-        is_informed_ = true;
-        sources_.on_informed(now);
+    if (!has_initial_state_) {
+        has_initial_state_ = true;
+        update_source_.on_initial_state(now);
         pauses_.on_event(now);  // packets that waited for long are no better than after a pause
         packets_.start_receiving();
     }
-    confirmed_at_ = sources_.confirmed_at(feed_, mirror_.revision());
+    confirmed_at_ = update_source_.confirmed_at(feed_, mirror_.revision());
     take_changes(events, now);
     update_readiness(now);
     consult_peers(now);  // peers learn of it without waiting for the next tick
@@ -273,12 +274,13 @@
 
 void steering_daemon::apply(const discovery::record& subject, std::int64_t revision,
                             clock::time_point now) {
-    const bool is_store_suspect = sources_.is_store_suspect(feed_, suspicion, now);
-    const auto outcome = directory_.apply(subject, revision, is_store_suspect, now);
+    const bool had_recent_store_outage =
+        update_source_.had_recent_store_outage(feed_, suspicion, now);
+    const auto outcome = directory_.apply(subject, revision, had_recent_store_outage, now);
     if (const auto* entry = std::get_if<discovery::target_entry>(&subject)) {
         checks_.on_entry(entry->id);
     }
-    if (outcome != discovery::change::none && log_.admits(log_kind::belief, now)) {
+    if (outcome != discovery::change::none && log_.admits(log_kind::state_change, now)) {
         log_.write(describe(subject, revision, outcome));
     }
 }
@@ -305,8 +307,8 @@
     // Failure: an instance that is cut off from everything drops what the fabric goes on sending to
     // it. One that still hears answers of targets stays: it may be all that its zone has.
     const bool hears_targets = now - steering_.flows().path().answered_at() <= target_silence;
-    const bool is_cut_off = !hears_targets && sources_.is_isolated(feed_, now);
-    const bool is_ready = belief().is_complete && !stop_.is_begun() && !is_cut_off;
+    const bool is_cut_off = !hears_targets && update_source_.is_isolated(feed_, now);
+    const bool is_ready = directory_state().is_complete && !stop_.is_begun() && !is_cut_off;
     if (is_ready == is_ready_) {
         return;
     }
@@ -389,10 +391,10 @@
         const auto use = steering_.use_of(service, now);
         services.push_back({.service = service,
                             .slots = use.slots(),
-                            .open_here = use.open_here(),
-                            .open_elsewhere = use.open_elsewhere(),
-                            .wanted_here = use.wants().here,
-                            .wanted_elsewhere = use.wants().elsewhere});
+                            .open_local = use.open_local(),
+                            .open_remote = use.open_remote(),
+                            .demand_local = use.wants().here,
+                            .demand_remote = use.wants().elsewhere});
     }
     return metrics_.render({.catalogue_version = directory_.in_force().version,
                             .known_revision = mirror_.revision(),
--- a/services/bramleyd/steering_daemon.h
+++ b/services/bramleyd/steering_daemon.h
@@ -10,10 +10,10 @@
 
 #include "discovery/directory.h"
 #include "discovery/registration.h"
-#include "fleet/newcomer.h"
 #include "fleet/peer_digests.h"
-#include "fleet/sources.h"
+#include "fleet/startup_recovery.h"
 #include "fleet/stop_plan.h"
+#include "fleet/update_source_selector.h"
 #include "net/http_server.h"
 #include "net/packet_socket.h"
 #include "observability/log.h"
@@ -66,7 +66,7 @@
     void update_readiness(clock::time_point now);
     void end_when_quiet(clock::time_point now);
     std::size_t others_in_rotation(clock::time_point now) const;
-    steering::belief belief() const;
+    steering::directory_state directory_state() const;
     std::int64_t confirmed_milliseconds_ago(clock::time_point now) const;  // -1: never
     std::string render_metrics();
 
@@ -81,8 +81,8 @@
     discovery::directory directory_;
     steering::cold_gate cold_;
     fleet::peer_digests digests_;
-    fleet::sources sources_;
-    fleet::newcomer newcomer_;
+    fleet::update_source_selector update_source_;
+    fleet::startup_recovery startup_recovery_;
     steering::steering steering_;
     steering::pause_guard pauses_;
     store::feed feed_;
@@ -101,7 +101,7 @@
     clock::time_point packet_at_;     // last packet of a caller
     clock::time_point confirmed_at_;  // what the directory holds was all there was then
     std::int64_t malformed_ = 0;
-    bool is_informed_ = false;  // the store, or a peer, has told everything once
+    bool has_initial_state_ = false;  // the store, or a peer, has told everything once
     bool is_ready_ = false;
 };
 
--- a/services/bramleyd/target_checks.cpp
+++ b/services/bramleyd/target_checks.cpp
@@ -35,9 +35,9 @@
       log_{log},
       inquiries_{known, settings.name, settings.zone, *this},
       probes_{loop} {
-    exchange_.on_question(
+    exchange_.on_probe_request(
         [this](std::string_view peer, discovery::routing_token token, clock::time_point now) {
-            inquiries_.on_question(peer, token, now);
+            inquiries_.on_probe_request(peer, token, now);
         });
     exchange_.on_answer(
         [this](std::string_view peer, discovery::routing_token token, bool is_reachable,
@@ -63,8 +63,8 @@
                                 clock::time_point now) {
     for (const auto& each : told) {
         const auto token = static_cast<discovery::routing_token>(each.token);
-        inquiries_.on_said_dead(peer, {.token = token, .age = clock::duration{each.age_ms}},
-                                core_.flows().signs(token).flows > 0, now);
+        inquiries_.on_reported_dead(peer, {.token = token, .age = clock::duration{each.age_ms}},
+                                    core_.flows().health(token).flows > 0, now);
     }
 }
 
@@ -88,7 +88,7 @@
 void target_checks::on_dead(const discovery::target& target, clock::time_point probed_at,
                             std::span<const std::string> confirmed_by, clock::time_point now) {
     ++found_dead_;
-    if (log_.admits(log_kind::belief, now)) {
+    if (log_.admits(log_kind::state_change, now)) {
         log_.write(log_event{"target_unreachable"}
                        .with("target", target.entry.id)
                        .with("target_zone", target.entry.zone)
@@ -100,8 +100,8 @@
     flows_ended_();
 }
 
-void target_checks::on_said_dead(const discovery::target& target, clock::time_point until) {
-    core_.on_target_said_dead(target, until);
+void target_checks::on_reported_dead(const discovery::target& target, clock::time_point until) {
+    core_.on_target_reported_dead(target, until);
 }
 
 void target_checks::on_reached(const discovery::target& target) {
--- a/services/bramleyd/target_checks.h
+++ b/services/bramleyd/target_checks.h
@@ -1,5 +1,5 @@
 // Checks of targets that leave packets unanswered: sockets, messages and log lines for what
-// fleet/target_inquiry decides.
+// fleet/target_failure_detector decides.
 #pragma once
 
 #include <ev++.h>
@@ -11,14 +11,14 @@
 #include <vector>
 
 #include "base/event_log.h"
-#include "fleet/target_inquiry.h"
+#include "fleet/target_failure_detector.h"
 #include "net/reach_probes.h"
 #include "peer_exchange.h"
 #include "steering/steering.h"
 
 namespace bramleytrack {
 
-class target_checks final : private fleet::inquiry_actions {
+class target_checks final : private fleet::failure_detector_actions {
 public:
     target_checks(ev::loop_ref loop, const settings::steering_settings& settings,
                   const discovery::directory& known, steering::steering& core,
@@ -42,7 +42,7 @@
                 bool is_reachable) override;
     void on_dead(const discovery::target& target, clock::time_point probed_at,
                  std::span<const std::string> confirmed_by, clock::time_point now) override;
-    void on_said_dead(const discovery::target& target, clock::time_point until) override;
+    void on_reported_dead(const discovery::target& target, clock::time_point until) override;
     void on_reached(const discovery::target& target) override;
 
     void on_verdicts(std::string_view peer, std::span<const wire::dead_target_report> told,
@@ -51,7 +51,7 @@
     steering::steering& core_;
     peer_exchange& exchange_;
     event_log& log_;
-    fleet::target_inquiries inquiries_;
+    fleet::target_failure_detector inquiries_;
     net::reach_probes probes_;
     std::function<void()> flows_ended_;
     std::int64_t probes_begun_ = 0;
--- a/standins/caller/observer.cpp
+++ b/standins/caller/observer.cpp
@@ -31,8 +31,8 @@
 
 void observer::on_tick(ev::timer& /*watcher*/, int /*events*/) {
     store_.get(configuration::store_key, http_timeout,
-               [this](const store::outcome<store::found_item>& answer, clock::time_point) {
-                   const auto* found = std::get_if<store::found_item>(&answer);
+               [this](const store::outcome<store::lookup_result>& answer, clock::time_point) {
+                   const auto* found = std::get_if<store::lookup_result>(&answer);
                    if (found != nullptr && found->content) {
                        on_text(found->content->value);
                    }
--- a/tests/discovery_directory_test.cpp
+++ b/tests/discovery_directory_test.cpp
@@ -45,8 +45,8 @@
     std::int64_t revision_ = 0;
 
     change apply(const discovery::record& subject, clock::time_point now = start,
-                 bool is_store_suspect = false) {
-        return known_.apply(subject, ++revision_, is_store_suspect, now);
+                 bool had_recent_store_outage = false) {
+        return known_.apply(subject, ++revision_, had_recent_store_outage, now);
     }
     const discovery::target* find(const std::string& id) const {
         return known_.find_target(discovery::token_of(id));
--- a/tests/fleet_newcomer_test.cpp
+++ b/tests/fleet_startup_recovery_test.cpp
@@ -3,15 +3,15 @@
 
 #include <set>
 
-#include "fleet/newcomer.h"
+#include "fleet/startup_recovery.h"
 
 namespace bramleytrack {
 namespace {
 
-class fleet_newcomer : public ::testing::Test {
+class fleet_startup_recovery : public ::testing::Test {
 protected:
     discovery::directory known_;
-    fleet::newcomer subject_{known_, "self"};
+    fleet::startup_recovery subject_{known_, "self"};
 
     void add_peer(const std::string& name) {
         known_.apply(
@@ -21,7 +21,7 @@
     }
 };
 
-TEST_F(fleet_newcomer, asks_three_peers_one_after_the_other) {
+TEST_F(fleet_startup_recovery, asks_three_peers_one_after_the_other) {
     // The first may have started just now, too, and the second be gone.
     for (int i = 0; i < 9; ++i) {
         add_peer("peer-" + std::to_string(i));
@@ -41,7 +41,7 @@
     EXPECT_FALSE(subject_.next().has_value());
 }
 
-TEST_F(fleet_newcomer, goes_on_when_peers_show_up_later) {
+TEST_F(fleet_startup_recovery, goes_on_when_peers_show_up_later) {
     add_peer("self");
     EXPECT_FALSE(subject_.next().has_value());
     add_peer("peer");
--- a/tests/fleet_target_inquiry_test.cpp
+++ b/tests/fleet_target_failure_detector_test.cpp
@@ -8,7 +8,7 @@
 #include <memory>
 #include <set>
 
-#include "fleet/target_inquiry.h"
+#include "fleet/target_failure_detector.h"
 #include "support/steering_parts.h"
 
 namespace bramleytrack {
@@ -20,12 +20,12 @@
 constexpr clock::duration probe_limit{60};
 
 // Instances with what they know and found, and the messages between them, which take no time.
-class fleet_target_inquiry : public ::testing::Test {
+class fleet_target_failure_detector : public ::testing::Test {
 protected:
     static inline const routing_token token_of_target = discovery::token_of("i-1");
 
-    struct instance final : fleet::inquiry_actions {
-        instance(fleet_target_inquiry& owner, const std::string& own_name,
+    struct instance final : fleet::failure_detector_actions {
+        instance(fleet_target_failure_detector& owner, const std::string& own_name,
                  const std::string& own_zone)
             : fleet{owner},
               name{own_name},
@@ -48,7 +48,7 @@
             ++questions;
             fleet.later_.emplace_back([this, to = peer.name, token] {
                 if (!fleet.gone_.contains(to)) {
-                    fleet.named(to).inquiries.on_question(name, token, fleet.now_);
+                    fleet.named(to).inquiries.on_probe_request(name, token, fleet.now_);
                 }
             });
         }
@@ -63,16 +63,16 @@
                      clock::time_point /*now*/) override {
             has_ended_flows = true;
         }
-        void on_said_dead(const discovery::target& /*target*/,
-                          clock::time_point /*until*/) override {
+        void on_reported_dead(const discovery::target& /*target*/,
+                              clock::time_point /*until*/) override {
             is_shunning = true;
         }
         void on_reached(const discovery::target& /*target*/) override { is_shunning = false; }
 
-        fleet_target_inquiry& fleet;
+        fleet_target_failure_detector& fleet;
         std::string name;
         std::string zone;
-        fleet::target_inquiries inquiries;
+        fleet::target_failure_detector inquiries;
         std::vector<routing_token> probing;  // without an answer
         int probes = 0;                      // of the first target
         int all_probes = 0;
@@ -82,7 +82,7 @@
         bool is_shunning = false;
     };
 
-    fleet_target_inquiry() {
+    fleet_target_failure_detector() {
         known_.apply(testing::board_text(), 1, false, start - clock::duration{1});
         for (const auto* id : {"i-1", "i-2", "i-3"}) {
             known_.apply(testing::board_target(id, "north", 2), 1, false,
@@ -146,7 +146,7 @@
             for (const auto& told : instances_[from]->inquiries.take_verdicts(now_)) {
                 for (std::size_t i = 1; i <= receivers; ++i) {
                     auto& to = *instances_[(from + i * i) % instances_.size()];
-                    to.inquiries.on_said_dead(instances_[from]->name, told, to.has_flows, now_);
+                    to.inquiries.on_reported_dead(instances_[from]->name, told, to.has_flows, now_);
                 }
             }
         }
@@ -174,7 +174,7 @@
     clock::time_point now_ = start;
 };
 
-TEST_F(fleet_target_inquiry, ends_flows_of_a_dead_target_of_which_each_instance_has_one) {
+TEST_F(fleet_target_failure_detector, ends_flows_of_a_dead_target_of_which_each_instance_has_one) {
     // Guards against callers of a dead target that wait for their deadlines one by one.
     add_instances(40, "north");
     for (int i = 0; i < 6; ++i) {
@@ -193,7 +193,7 @@
     EXPECT_LE(all_probes(), 9);
 }
 
-TEST_F(fleet_target_inquiry, ends_no_flow_when_a_peer_reaches_the_target) {
+TEST_F(fleet_target_failure_detector, ends_no_flow_when_a_peer_reaches_the_target) {
     // Guards against an instance with a link of its own that is cut, which finds every target dead.
     add_instances(9, "north");
     can_reach_ = [](const instance& from) { return from.name != "north-0"; };
@@ -204,34 +204,34 @@
     EXPECT_TRUE(instances_[0]->inquiries.take_verdicts(now_).empty());
 }
 
-TEST_F(fleet_target_inquiry, ends_no_flow_on_the_word_of_peers_alone) {
+TEST_F(fleet_target_failure_detector, ends_no_flow_on_the_word_of_peers_alone) {
     // Guards against half a zone that is cut off from a target and talks the other half into ending
     // flows that live.
     add_instances(8, "north");
     can_reach_ = [](const instance& from) { return from.name >= "north-4"; };
     instances_[6]->has_flows = true;
-    instances_[6]->inquiries.on_said_dead("north-0", {.token = token_of_target}, true, now_);
+    instances_[6]->inquiries.on_reported_dead("north-0", {.token = token_of_target}, true, now_);
     EXPECT_TRUE(instances_[6]->is_shunning);
     settle();
     EXPECT_FALSE(instances_[6]->has_ended_flows);
     EXPECT_FALSE(instances_[6]->is_shunning);
     // Nor does it pass the word on, or take it from the next peer that tells it.
     EXPECT_TRUE(instances_[6]->inquiries.take_verdicts(now_).empty());
-    instances_[6]->inquiries.on_said_dead("north-1", {.token = token_of_target}, true, now_);
+    instances_[6]->inquiries.on_reported_dead("north-1", {.token = token_of_target}, true, now_);
     EXPECT_FALSE(instances_[6]->is_shunning);
 }
 
-TEST_F(fleet_target_inquiry, believes_only_peers_of_its_own_zone) {
+TEST_F(fleet_target_failure_detector, believes_only_peers_of_its_own_zone) {
     // Guards against two zones that a cut has parted and that find each other's targets dead.
     add_instances(3, "north");
     add_instances(3, "south");
-    named("north-0").inquiries.on_said_dead("south-0", {.token = token_of_target}, true, now_);
+    named("north-0").inquiries.on_reported_dead("south-0", {.token = token_of_target}, true, now_);
     settle();
     EXPECT_EQ(count(&instance::is_shunning), 0);
     EXPECT_EQ(all_probes(), 0);
 }
 
-TEST_F(fleet_target_inquiry, asks_peers_of_its_own_zone_first) {
+TEST_F(fleet_target_failure_detector, asks_peers_of_its_own_zone_first) {
     add_instances(5, "south");
     add_instances(5, "north");
     can_reach_ = [](const instance& from) { return from.zone == "south"; };
@@ -240,7 +240,7 @@
     EXPECT_TRUE(named("north-2").has_ended_flows);
 }
 
-TEST_F(fleet_target_inquiry, asks_others_when_those_that_were_asked_are_gone) {
+TEST_F(fleet_target_failure_detector, asks_others_when_those_that_were_asked_are_gone) {
     // Guards against a zone that has lost power together with its targets: its instances are listed
     // for seconds more, and answer nobody.
     add_instances(12, "north");
@@ -258,7 +258,8 @@
     EXPECT_TRUE(instances_[0]->has_ended_flows);
 }
 
-TEST_F(fleet_target_inquiry, decides_nothing_about_a_service_whose_targets_take_no_connections) {
+TEST_F(fleet_target_failure_detector,
+       decides_nothing_about_a_service_whose_targets_take_no_connections) {
     // Guards against a network that lets only packets of flows through to targets, where each that
     // is slow for a moment would count as dead.
     add_instances(6, "north");
@@ -272,7 +273,7 @@
     EXPECT_TRUE(instances_[0]->inquiries.take_verdicts(now_).empty());
 }
 
-TEST_F(fleet_target_inquiry, decides_nothing_without_peers) {
+TEST_F(fleet_target_failure_detector, decides_nothing_without_peers) {
     // Guards against the only instance that is left, whose own link may be what is cut.
     add_instances(1, "north");
     instances_[0]->inquiries.suspect(token_of_target, now_);
@@ -280,7 +281,7 @@
     EXPECT_FALSE(instances_[0]->has_ended_flows);
 }
 
-TEST_F(fleet_target_inquiry, probes_a_target_once_for_all_that_ask) {
+TEST_F(fleet_target_failure_detector, probes_a_target_once_for_all_that_ask) {
     // Guards against a slow target that each of its callers' repetitions burdens with a connection.
     add_instances(4, "north");
     can_reach_ = [](const instance&) { return true; };
@@ -290,12 +291,13 @@
     }
     EXPECT_EQ(instances_[0]->probes, 1);
     for (int i = 1; i < 4; ++i) {
-        instances_[0]->inquiries.on_question("north-" + std::to_string(i), token_of_target, now_);
+        instances_[0]->inquiries.on_probe_request("north-" + std::to_string(i), token_of_target,
+                                                  now_);
     }
     EXPECT_EQ(all_probes(), 1);
 }
 
-TEST_F(fleet_target_inquiry, probes_few_targets_a_second_when_all_answer_late) {
+TEST_F(fleet_target_failure_detector, probes_few_targets_a_second_when_all_answer_late) {
     // Guards against a rush in which each instance connects to each slow target again and again.
     constexpr int targets = 300;
     add_instances(1, "north");
@@ -318,7 +320,7 @@
     EXPECT_GE(instances_[0]->all_probes, 64);
 }
 
-TEST_F(fleet_target_inquiry, a_verdict_ends_with_its_lifetime_wherever_it_was_passed_on) {
+TEST_F(fleet_target_failure_detector, a_verdict_ends_with_its_lifetime_wherever_it_was_passed_on) {
     // Guards against word of a death that goes round among peers after the target is back.
     add_instances(6, "north");
     instances_[0]->inquiries.suspect(token_of_target, now_);
@@ -337,7 +339,8 @@
     }
 }
 
-TEST_F(fleet_target_inquiry, a_dead_target_that_is_still_listed_is_probed_before_callers_try_it) {
+TEST_F(fleet_target_failure_detector,
+       a_dead_target_that_is_still_listed_is_probed_before_callers_try_it) {
     // Guards against callers of all instances that try it again as soon as the verdict is old.
     add_instances(4, "north");
     instances_[0]->inquiries.suspect(token_of_target, now_);
@@ -357,35 +360,35 @@
     EXPECT_FALSE(instances_[0]->is_shunning);
 }
 
-TEST_F(fleet_target_inquiry, a_verdict_that_comes_back_by_another_way_is_the_same) {
+TEST_F(fleet_target_failure_detector, a_verdict_that_comes_back_by_another_way_is_the_same) {
     // Guards against word that goes round for longer, since each teller makes it a little newer.
     add_instances(3, "north");
     auto& subject = named("north-0").inquiries;
     advance(clock::duration{1'000});
-    subject.on_said_dead("north-1", {.token = token_of_target, .age = clock::duration{200}}, false,
-                         now_);
+    subject.on_reported_dead("north-1", {.token = token_of_target, .age = clock::duration{200}},
+                             false, now_);
     EXPECT_EQ(subject.take_verdicts(now_).size(), 1U);
     advance(clock::duration{300});
-    subject.on_said_dead("north-2", {.token = token_of_target, .age = clock::duration{490}}, false,
-                         now_);
+    subject.on_reported_dead("north-2", {.token = token_of_target, .age = clock::duration{490}},
+                             false, now_);
     EXPECT_FALSE(subject.has_news());
     // A new probe has failed since.
     advance(clock::duration{2'200});
-    subject.on_said_dead("north-2", {.token = token_of_target, .age = clock::duration{10}}, false,
-                         now_);
+    subject.on_reported_dead("north-2", {.token = token_of_target, .age = clock::duration{10}},
+                             false, now_);
     EXPECT_TRUE(subject.has_news());
 }
 
-TEST_F(fleet_target_inquiry, a_target_that_writes_to_the_store_is_alive) {
+TEST_F(fleet_target_failure_detector, a_target_that_writes_to_the_store_is_alive) {
     add_instances(4, "north");
-    instances_[1]->inquiries.on_said_dead("north-0", {.token = token_of_target}, false, now_);
+    instances_[1]->inquiries.on_reported_dead("north-0", {.token = token_of_target}, false, now_);
     EXPECT_TRUE(instances_[1]->is_shunning);
     instances_[1]->inquiries.on_entry(token_of_target);
     EXPECT_FALSE(instances_[1]->is_shunning);
     EXPECT_TRUE(instances_[1]->inquiries.take_verdicts(now_).empty());
 }
 
-TEST_F(fleet_target_inquiry, tells_of_many_dead_targets_in_turn) {
+TEST_F(fleet_target_failure_detector, tells_of_many_dead_targets_in_turn) {
     // Guards against a lost zone whose first sixteen targets are told over and over.
     constexpr int targets = 60;
     add_instances(2, "north");
@@ -393,8 +396,8 @@
         discovery::target_entry entry;
         entry.id = "dead-" + std::to_string(i);
         known_.apply(entry, 10 + i, false, start - clock::duration{1});
-        instances_[0]->inquiries.on_said_dead("north-1", {.token = discovery::token_of(entry.id)},
-                                              false, now_);
+        instances_[0]->inquiries.on_reported_dead(
+            "north-1", {.token = discovery::token_of(entry.id)}, false, now_);
     }
     std::set<routing_token> told;
     for (int digest = 0; digest < 4; ++digest) {
--- a/tests/fleet_sources_test.cpp
+++ b/tests/fleet_update_source_selector_test.cpp
@@ -6,7 +6,7 @@
 #include <cmath>
 #include <set>
 
-#include "fleet/sources.h"
+#include "fleet/update_source_selector.h"
 #include "support/fake_store.h"
 #include "wire/codec.h"
 
@@ -14,11 +14,11 @@
 namespace {
 
 using fleet::peer_digests;
-using fleet::sources;
+using fleet::update_source_selector;
 
 constexpr clock::time_point start = to_time_point(1'000'000);
 
-wire::digest fleet_digest_of(const peer_digests& digests, const steering::flow_watch& flows) {
+wire::digest fleet_digest_of(const peer_digests& digests, const steering::flow_tracker& flows) {
     wire::digest result;
     result.known_revision = 123'456'789;
     result.confirmed_ms_ago = 2'400;
@@ -26,21 +26,21 @@
     return result;
 }
 
-class fleet_sources : public ::testing::Test {
+class fleet_update_source_selector : public ::testing::Test {
 protected:
     discovery::directory known_;
     testing::fake_store store_;
     store::mirror mirror_;
     store::feed feed_{store_, mirror_, 1};
     peer_digests digests_{known_, "self", "north", 1};
-    sources sources_{known_, digests_, "self"};
+    update_source_selector update_source_{known_, digests_, "self"};
     std::int64_t revision_ = 0;
 
     void SetUp() override {
         add_peer("self");
         feed_.tick(start);
         answer_read();
-        feed_.read_anew(start);  // the first read may be seconds old
+        feed_.reread(start);  // the first read may be seconds old
         answer_read();
     }
 
@@ -74,42 +74,42 @@
     }
 };
 
-TEST_F(fleet_sources, watches_while_no_peer_is_heard) {
-    EXPECT_TRUE(sources_.should_watch(feed_, start));
+TEST_F(fleet_update_source_selector, watches_while_no_peer_is_heard) {
+    EXPECT_TRUE(update_source_.should_watch(feed_, start));
 }
 
-TEST_F(fleet_sources, a_newcomer_hears_its_peers_before_it_watches) {
+TEST_F(fleet_update_source_selector, a_newcomer_hears_its_peers_before_it_watches) {
     // Guards against a whole fleet that watches at once when power is back.
-    sources_.on_informed(start);
-    EXPECT_FALSE(sources_.should_watch(feed_, start));
-    EXPECT_FALSE(sources_.should_watch(feed_, start + clock::duration{800}));
-    EXPECT_TRUE(sources_.should_watch(feed_, start + clock::duration{900}));
+    update_source_.on_initial_state(start);
+    EXPECT_FALSE(update_source_.should_watch(feed_, start));
+    EXPECT_FALSE(update_source_.should_watch(feed_, start + clock::duration{800}));
+    EXPECT_TRUE(update_source_.should_watch(feed_, start + clock::duration{900}));
 }
 
-TEST_F(fleet_sources, leaves_the_watch_to_the_highest_rank_that_it_hears) {
+TEST_F(fleet_update_source_selector, leaves_the_watch_to_the_highest_rank_that_it_hears) {
     const auto other = watcher();
     add_peer(other);
     digests_.on_digest(other, digest(5, 100), start);
-    EXPECT_FALSE(sources_.should_watch(feed_, start));
-    EXPECT_EQ(sources_.confirmed_at(feed_, 5), start);
+    EXPECT_FALSE(update_source_.should_watch(feed_, start));
+    EXPECT_EQ(update_source_.confirmed_at(feed_, 5), start);
 }
 
-TEST_F(fleet_sources, takes_over_when_the_watcher_falls_silent) {
+TEST_F(fleet_update_source_selector, takes_over_when_the_watcher_falls_silent) {
     // The watcher is killed right before a change. A change must be in force after 3 s.
     const auto other = watcher();
     add_peer(other);
     digests_.on_digest(other, digest(5, 0), start);
-    EXPECT_FALSE(sources_.should_watch(feed_, start + clock::duration{1'200}));
-    EXPECT_TRUE(sources_.should_watch(feed_, start + clock::duration{1'300}));
+    EXPECT_FALSE(update_source_.should_watch(feed_, start + clock::duration{1'200}));
+    EXPECT_TRUE(update_source_.should_watch(feed_, start + clock::duration{1'300}));
 }
 
-TEST_F(fleet_sources, takes_over_when_the_watchers_word_grows_old) {
+TEST_F(fleet_update_source_selector, takes_over_when_the_watchers_word_grows_old) {
     // The watcher is cut off from the store, silently, and goes on sending digests.
     const auto other = watcher();
     add_peer(other);
     digests_.on_digest(other, digest(5, 0), start);
     clock::time_point now = start;
-    while (!sources_.should_watch(feed_, now)) {
+    while (!update_source_.should_watch(feed_, now)) {
         now += clock::duration{300};
         digests_.on_digest(other, digest(5, (now - start).count()), now);
         ASSERT_LT(now - start, clock::duration{3'000});
@@ -117,80 +117,81 @@
     EXPECT_GT(now - start, clock::duration{2'500});
 }
 
-TEST_F(fleet_sources, a_watcher_that_lost_the_store_is_passed_over) {
+TEST_F(fleet_update_source_selector, a_watcher_that_lost_the_store_is_passed_over) {
     const auto other = watcher();
     add_peer(other);
     auto content = digest(5, 0);
     content.has_lost_store = true;
     digests_.on_digest(other, content, start);
-    EXPECT_TRUE(sources_.should_watch(feed_, start));
-    EXPECT_TRUE(sources_.is_store_suspect(feed_, clock::duration{2'000}, start));
-    EXPECT_FALSE(
-        sources_.is_store_suspect(feed_, clock::duration{2'000}, start + clock::duration{2'001}));
+    EXPECT_TRUE(update_source_.should_watch(feed_, start));
+    EXPECT_TRUE(update_source_.had_recent_store_outage(feed_, clock::duration{2'000}, start));
+    EXPECT_FALSE(update_source_.had_recent_store_outage(feed_, clock::duration{2'000},
+                                                        start + clock::duration{2'001}));
 }
 
-TEST_F(fleet_sources, an_instance_that_the_store_refuses_leaves_the_watch_to_any_peer) {
+TEST_F(fleet_update_source_selector,
+       an_instance_that_the_store_refuses_leaves_the_watch_to_any_peer) {
     const std::string other = "peer";
     add_peer(other);
     digests_.on_digest(other, digest(5, 0), start);
     feed_.tick(start);
     store_.watches.back().done(result_code::store_unavailable, start);
-    EXPECT_FALSE(sources_.should_watch(feed_, start));
+    EXPECT_FALSE(update_source_.should_watch(feed_, start));
 }
 
-TEST_F(fleet_sources, fetches_from_a_peer_that_knows_more) {
+TEST_F(fleet_update_source_selector, fetches_from_a_peer_that_knows_more) {
     const auto other = watcher();
     add_peer(other);
     digests_.on_digest(other, digest(9, 0), start);
-    const auto pull = sources_.wanted_pull(5, false, start);
+    const auto pull = update_source_.next_pull(5, false, start);
     ASSERT_TRUE(pull);
     EXPECT_EQ(pull->address, other + ":2");
-    EXPECT_FALSE(sources_.wanted_pull(9, false, start));
+    EXPECT_FALSE(update_source_.next_pull(9, false, start));
 }
 
-TEST_F(fleet_sources, a_watcher_waits_for_its_own_watch_and_then_fetches) {
+TEST_F(fleet_update_source_selector, a_watcher_waits_for_its_own_watch_and_then_fetches) {
     // Its watch is deaf: the answer was lost, and the connection stays open in silence.
     add_peer("peer");
     digests_.on_digest("peer", digest(9, 0), start);
-    EXPECT_FALSE(sources_.wanted_pull(5, true, start));
-    EXPECT_TRUE(sources_.wanted_pull(5, true, start + clock::duration{500}));
+    EXPECT_FALSE(update_source_.next_pull(5, true, start));
+    EXPECT_TRUE(update_source_.next_pull(5, true, start + clock::duration{500}));
 }
 
-TEST_F(fleet_sources, reads_itself_when_peers_know_more_and_none_can_be_asked) {
+TEST_F(fleet_update_source_selector, reads_itself_when_peers_know_more_and_none_can_be_asked) {
     // Right after the start an instance knew two of eight peers, heard digests of all, and left the
     // watch to one whose address it hadn't learned. It stayed without a configuration all day.
     const auto stranger = watcher();
     clock::time_point now = start;
     for (int i = 0; i < 5; ++i, now += clock::duration{300}) {
         digests_.on_digest(stranger, digest(9, 0), now);
-        EXPECT_FALSE(sources_.wanted_pull(5, false, now));
+        EXPECT_FALSE(update_source_.next_pull(5, false, now));
     }
-    EXPECT_TRUE(sources_.should_watch(feed_, now));
+    EXPECT_TRUE(update_source_.should_watch(feed_, now));
 }
 
-TEST_F(fleet_sources, word_about_a_later_state_does_not_confirm_an_earlier_one) {
+TEST_F(fleet_update_source_selector, word_about_a_later_state_does_not_confirm_an_earlier_one) {
     add_peer("peer");
     const auto later = start + clock::duration{900};
     digests_.on_digest("peer", digest(9, 0), later);
-    EXPECT_EQ(sources_.confirmed_at(feed_, 5), start);
-    EXPECT_EQ(sources_.confirmed_at(feed_, 9), later);
+    EXPECT_EQ(update_source_.confirmed_at(feed_, 5), start);
+    EXPECT_EQ(update_source_.confirmed_at(feed_, 9), later);
 }
 
-TEST_F(fleet_sources, knows_that_it_is_cut_off_from_all) {
+TEST_F(fleet_update_source_selector, knows_that_it_is_cut_off_from_all) {
     add_peer("peer");
     digests_.on_digest("peer", digest(5, 0), start);
-    EXPECT_FALSE(sources_.is_isolated(feed_, start + clock::duration{1'900}));
-    EXPECT_TRUE(sources_.is_isolated(feed_, start + clock::duration{2'600}));
+    EXPECT_FALSE(update_source_.is_isolated(feed_, start + clock::duration{1'900}));
+    EXPECT_TRUE(update_source_.is_isolated(feed_, start + clock::duration{2'600}));
 }
 
-TEST_F(fleet_sources, an_instance_alone_is_not_cut_off) {
-    EXPECT_FALSE(sources_.is_isolated(feed_, start + clock::duration{60'000}));
+TEST_F(fleet_update_source_selector, an_instance_alone_is_not_cut_off) {
+    EXPECT_FALSE(update_source_.is_isolated(feed_, start + clock::duration{60'000}));
 }
 
-TEST_F(fleet_sources, in_an_outage_the_highest_in_rank_goes_on_asking_for_all) {
+TEST_F(fleet_update_source_selector, in_an_outage_the_highest_in_rank_goes_on_asking_for_all) {
     // Guards against hundreds of instances that ask a store that is down, twice a second each.
     const auto lose_store = [this](clock::time_point now) {
-        feed_.read_anew(now);
+        feed_.reread(now);
         store_.ranges.back().done(result_code::store_unavailable, now);
     };
     const auto later = start + clock::duration{4'000};
@@ -199,44 +200,45 @@
     content.has_lost_store = true;
     const auto other = watcher();
     digests_.on_digest(other, content, later);
-    EXPECT_FALSE(sources_.should_watch(feed_, later + clock::duration{100}));
+    EXPECT_FALSE(update_source_.should_watch(feed_, later + clock::duration{100}));
     // The other one may be wrong, or gone: it tries again, and so does whoever hears nobody.
     digests_.on_digest(other, content, later + clock::duration{3'000});
-    EXPECT_TRUE(sources_.should_watch(feed_, later + clock::duration{3'000}));
+    EXPECT_TRUE(update_source_.should_watch(feed_, later + clock::duration{3'000}));
     lose_store(later + clock::duration{3'000});
-    EXPECT_FALSE(sources_.should_watch(feed_, later + clock::duration{3'100}));
-    EXPECT_TRUE(sources_.should_watch(feed_, later + clock::duration{4'400}));
+    EXPECT_FALSE(update_source_.should_watch(feed_, later + clock::duration{3'100}));
+    EXPECT_TRUE(update_source_.should_watch(feed_, later + clock::duration{4'400}));
 }
 
-TEST_F(fleet_sources, expects_as_many_watchers_as_the_fleet_is_larger_than_what_it_hears) {
-    EXPECT_EQ(sources_.expected_watchers(start), 1U);
+TEST_F(fleet_update_source_selector,
+       expects_as_many_watchers_as_the_fleet_is_larger_than_what_it_hears) {
+    EXPECT_EQ(update_source_.expected_watchers(start), 1U);
     for (int i = 0; i < 194; ++i) {
         add_peer("peer-" + std::to_string(i));
     }
     for (int i = 0; i < 32; ++i) {
         digests_.on_digest("peer-" + std::to_string(i), digest(5, 0), start);
     }
-    EXPECT_EQ(sources_.expected_watchers(start), 5U);
+    EXPECT_EQ(update_source_.expected_watchers(start), 5U);
     // In a small fleet all are heard, and one watches.
     for (int i = 0; i < 194; ++i) {
         digests_.on_digest("peer-" + std::to_string(i), digest(5, 0), start);
     }
-    EXPECT_EQ(sources_.expected_watchers(start), 1U);
+    EXPECT_EQ(update_source_.expected_watchers(start), 1U);
 }
 
-TEST_F(fleet_sources, in_a_large_fleet_a_few_watch) {
+TEST_F(fleet_update_source_selector, in_a_large_fleet_a_few_watch) {
     // 610 instances; each hears 32 others within the freshness of a digest. If all watched, each
     // change would cost 610 calls, and if none did, nobody would learn of it.
     constexpr int number = 610;
-    constexpr int heard = 32;
+    constexpr int received = 32;
     std::minstd_rand random{1};
     std::uniform_int_distribution<int> pick{0, number - 1};
     int watchers = 0;
     for (int self = 0; self < number; ++self) {
         const auto name = "peer-" + std::to_string(self);
         peer_digests digests{known_, name, "north", 1};
-        const sources own{known_, digests, name};
-        for (int i = 0; i < heard; ++i) {
+        const update_source_selector own{known_, digests, name};
+        for (int i = 0; i < received; ++i) {
             digests.on_digest("peer-" + std::to_string(pick(random)), digest(5, 0), start);
         }
         watchers += own.should_watch(feed_, start) ? 1 : 0;
@@ -262,8 +264,8 @@
     digests.on_digest("p1", content, start);
     digests.on_digest("p2", content, start);
     // Two of four peers are heard.
-    EXPECT_DOUBLE_EQ(digests.open_elsewhere(11, start), 12);
-    EXPECT_DOUBLE_EQ(digests.open_elsewhere(11, start + clock::duration{1'300}), 0);
+    EXPECT_DOUBLE_EQ(digests.open_remote(11, start), 12);
+    EXPECT_DOUBLE_EQ(digests.open_remote(11, start + clock::duration{1'300}), 0);
 }
 
 TEST(peer_digests, what_callers_of_peers_ask_for_adds_up_while_it_is_fresh) {
@@ -279,13 +281,13 @@
     demands["board"].on_asked(0, start);
     demands["plans"].on_asked(0, start);
     wire::digest content;
-    content.demands = digests.demands_of(demands, steering::flow_watch{}, start);
+    content.demands = digests.demands_of(demands, steering::flow_tracker{}, start);
     digests.on_digest("p1", content, start);
     digests.on_digest("p2", content, start);
-    EXPECT_DOUBLE_EQ(digests.wanted_elsewhere("board", start), 4);
-    EXPECT_DOUBLE_EQ(digests.wanted_elsewhere("plans", start), 2);
-    EXPECT_DOUBLE_EQ(digests.wanted_elsewhere("alerts", start), 0);
-    EXPECT_DOUBLE_EQ(digests.wanted_elsewhere("board", start + clock::duration{1'300}), 0);
+    EXPECT_DOUBLE_EQ(digests.demand_remote("board", start), 4);
+    EXPECT_DOUBLE_EQ(digests.demand_remote("plans", start), 2);
+    EXPECT_DOUBLE_EQ(digests.demand_remote("alerts", start), 0);
+    EXPECT_DOUBLE_EQ(digests.demand_remote("board", start + clock::duration{1'300}), 0);
 }
 
 TEST(peer_digests, all_peers_are_told_in_turn) {
@@ -334,7 +336,7 @@
     steering::demand_by_service demands;
     demands["board"].on_asked(0, start);
     wire::digest result;
-    result.demands = digests.demands_of(demands, steering::flow_watch{}, start);
+    result.demands = digests.demands_of(demands, steering::flow_tracker{}, start);
     result.demands.front().open = open;
     return result;
 }
@@ -371,9 +373,9 @@
     for (int i = 1; i <= 26; ++i) {
         digests.on_digest("north" + std::to_string(i), content, start);
     }
-    EXPECT_DOUBLE_EQ(digests.open_elsewhere(11, start), 39);
+    EXPECT_DOUBLE_EQ(digests.open_remote(11, start), 39);
     digests.on_digest("south0", content, start);
-    EXPECT_DOUBLE_EQ(digests.open_elsewhere(11, start + clock::duration{60}), 41);
+    EXPECT_DOUBLE_EQ(digests.open_remote(11, start + clock::duration{60}), 41);
 }
 
 TEST(peer_digests, all_open_requests_of_a_service_count_though_few_peers_of_a_zone_are_heard) {
@@ -386,7 +388,7 @@
     digests.on_digest("far1", content, start);
     digests.on_digest("far2", content, start);
     // Ten times 17, less four standard deviations: each of the two heard stands for five.
-    EXPECT_NEAR(digests.open_elsewhere_of("board", start), 170 - 4 * std::sqrt(2 * 17 * 5 * 4),
+    EXPECT_NEAR(digests.open_remote_of_service("board", start), 170 - 4 * std::sqrt(2 * 17 * 5 * 4),
                 0.1);
 }
 
@@ -397,12 +399,12 @@
     peer_digests digests{known, "near", "home", 1};
     const auto content = digest_of_open(digests, 4);
     digests.on_digest("far1", content, start);
-    EXPECT_DOUBLE_EQ(digests.open_elsewhere_of("board", start), 0);
+    EXPECT_DOUBLE_EQ(digests.open_remote_of_service("board", start), 0);
 }
 
 TEST(peer_digests, tells_the_open_requests_of_a_service_over_all_its_targets) {
     discovery::directory known;
-    steering::flow_watch flows;
+    steering::flow_tracker flows;
     for (int i = 0; i < 30; ++i) {
         discovery::target_entry entry;
         entry.id = "i-" + std::to_string(i);
@@ -425,7 +427,7 @@
     // 5 KB a second: 8 receivers each 300 ms leave 187 bytes for a digest, whatever is loaded.
     const discovery::directory known;
     const peer_digests digests{known, "p0", "", 1};
-    steering::flow_watch flows;
+    steering::flow_tracker flows;
     for (std::uint16_t port = 1; port < 500; ++port) {
         steering::segment opening;
         opening.flow.caller = {.address = 7, .port = port};
@@ -442,7 +444,7 @@
             demands[service].on_asked(0, start);
         }
     }
-    content.demands = digests.demands_of(demands, steering::flow_watch{}, start);
+    content.demands = digests.demands_of(demands, steering::flow_tracker{}, start);
     EXPECT_EQ(content.demands.size(), 3U);
     for (auto& each : content.demands) {
         each.open = 20'000;
--- a/tests/kv_store_test.cpp
+++ b/tests/kv_store_test.cpp
@@ -50,16 +50,17 @@
             subject_.range("servers/", "", freshness_, limit, std::move(done));
         });
     }
-    store::outcome<store::news> watch(const std::string& body, int status = 200) {
-        return outcome_of<store::news>(body, status, [this](store::callback<store::news> done) {
-            subject_.watch("", 7, clock::duration{100}, limit, std::move(done));
-        });
+    store::outcome<store::watch_result> watch(const std::string& body, int status = 200) {
+        return outcome_of<store::watch_result>(
+            body, status, [this](store::callback<store::watch_result> done) {
+                subject_.watch("", 7, clock::duration{100}, limit, std::move(done));
+            });
     }
-    store::outcome<store::found_item> get(const std::string& body, int status = 200) {
-        return outcome_of<store::found_item>(body, status,
-                                             [this](store::callback<store::found_item> done) {
-                                                 subject_.get("a key/1", limit, std::move(done));
-                                             });
+    store::outcome<store::lookup_result> get(const std::string& body, int status = 200) {
+        return outcome_of<store::lookup_result>(body, status,
+                                                [this](store::callback<store::lookup_result> done) {
+                                                    subject_.get("a key/1", limit, std::move(done));
+                                                });
     }
     store::outcome<store::committed> commit(const std::string& body, int status) {
         return outcome_of<store::committed>(
@@ -92,7 +93,7 @@
 }
 
 TEST_F(kv_store_answers, events_of_a_watch) {
-    const auto read = std::get<store::news>(
+    const auto read = std::get<store::watch_result>(
         watch(R"({"events":[{"key":"a","value":"","revision":8},)"
               R"({"key":"b","revision":9,"removed":true}],"store_revision":9})"));
     ASSERT_EQ(read.events.size(), 2U);
@@ -102,11 +103,11 @@
 }
 
 TEST_F(kv_store_answers, a_key_or_its_absence) {
-    const auto found = std::get<store::found_item>(
+    const auto found = std::get<store::lookup_result>(
         get(R"({"key":"a key/1","value":"eA==","revision":5,"store_revision":9})"));
     EXPECT_EQ(found.content->value, "x");
     EXPECT_EQ(asked_.query_or("key", ""), "a key/1");
-    const auto absent = std::get<store::found_item>(get(R"({"store_revision":9})", 404));
+    const auto absent = std::get<store::lookup_result>(get(R"({"store_revision":9})", 404));
     EXPECT_FALSE(absent.content.has_value());
     EXPECT_EQ(absent.revision, 9);
 }
--- a/tests/log_output_test.cpp
+++ b/tests/log_output_test.cpp
@@ -72,7 +72,7 @@
     }
     EXPECT_LE(admitted, 241);
     EXPECT_GE(admitted, 200);
-    EXPECT_TRUE(log.admits(log_kind::belief, start));
+    EXPECT_TRUE(log.admits(log_kind::state_change, start));
 }
 
 TEST(log_budget, fills_up_again) {
--- a/tests/metrics_test.cpp
+++ b/tests/metrics_test.cpp
@@ -58,10 +58,10 @@
     observability::steering_metrics metrics;
     const std::array services{observability::service_gauges{.service = "board",
                                                             .slots = 56,
-                                                            .open_here = 20,
-                                                            .open_elsewhere = 92,
-                                                            .wanted_here = 300,
-                                                            .wanted_elsewhere = 900}};
+                                                            .open_local = 20,
+                                                            .open_remote = 92,
+                                                            .demand_local = 300,
+                                                            .demand_remote = 900}};
     const auto text = metrics.render({}, services);
     EXPECT_THAT(text, HasSubstr("bramleytrack_service_slots{service=\"board\"} 56"));
     EXPECT_THAT(
--- a/tests/platform_adapter_test.cpp
+++ b/tests/platform_adapter_test.cpp
@@ -138,11 +138,11 @@
 
 TEST(record_codec, tells_by_key_and_size_what_may_be_of_use) {
     const record_codec codec;
-    EXPECT_TRUE(codec.is_of_use("op/config", 1'000'000));
-    EXPECT_TRUE(codec.is_of_use("servers/i-1f", 500));
-    EXPECT_FALSE(codec.is_of_use("servers/i-1f", 1'000'000));
-    EXPECT_TRUE(codec.is_of_use("op/evacuate/north", 2));
-    EXPECT_FALSE(codec.is_of_use("elsewhere/key", 2));
+    EXPECT_TRUE(codec.is_relevant("op/config", 1'000'000));
+    EXPECT_TRUE(codec.is_relevant("servers/i-1f", 500));
+    EXPECT_FALSE(codec.is_relevant("servers/i-1f", 1'000'000));
+    EXPECT_TRUE(codec.is_relevant("op/evacuate/north", 2));
+    EXPECT_FALSE(codec.is_relevant("elsewhere/key", 2));
 }
 
 TEST(record_codec, an_id_that_is_no_number_names_no_target) {
--- a/tests/steering_caller_shares_test.cpp
+++ b/tests/steering_caller_shares_test.cpp
@@ -1,7 +1,7 @@
 // Steering: who has more of the targets' work than their fair share.
 #include <gtest/gtest.h>
 
-#include "steering/flow_watch.h"
+#include "steering/flow_tracker.h"
 
 namespace bramleytrack {
 namespace {
@@ -87,7 +87,7 @@
 // Openings, answers, resets and callers that fall silent each end a request in another place of the
 // code. One that is forgotten makes its caller look heavy for good.
 TEST(caller_shares, every_way_in_which_a_request_ends_is_counted) {
-    steering::flow_watch flows;
+    steering::flow_tracker flows;
     const auto packet = [](std::uint16_t port) {
         steering::segment result;
         result.flow = {.caller = {.address = heavy, .port = port},
@@ -98,12 +98,12 @@
     for (std::uint16_t port = 1; port <= 8; ++port) {
         auto opening = packet(port);
         opening.is_opening = true;
-        flows.note_asked(opening.flow, start);
+        flows.note_attempt(opening.flow, start);
         flows.note_opening(opening, 5, start);
     }
     for (std::uint32_t caller = 2; caller < 6; ++caller) {
-        flows.note_asked({.caller = {.address = caller, .port = 1}, .route = {}},
-                         start + clock::duration{10'000});
+        flows.note_attempt({.caller = {.address = caller, .port = 1}, .route = {}},
+                           start + clock::duration{10'000});
     }
     EXPECT_TRUE(flows.callers().is_heavy(heavy));
     auto data = packet(1);
@@ -125,7 +125,7 @@
     flows.note_packet(moved, start);
     flows.expire(start + clock::duration{10'000});
     EXPECT_FALSE(flows.callers().is_heavy(heavy));
-    EXPECT_EQ(flows.signs(5).open_requests, 0);
+    EXPECT_EQ(flows.health(5).open_requests, 0);
 }
 
 }  // namespace
--- a/tests/steering_large_service_test.cpp
+++ b/tests/steering_large_service_test.cpp
@@ -111,7 +111,8 @@
 TEST_F(steering_large_service, flows_avoid_a_third_of_the_targets_that_is_dead) {
     for (int i = 0; i < targets_by_zone; i += 3) {
         const auto token = discovery::token_of("north" + std::to_string(i));
-        subject_.on_target_said_dead(*known_.find_target(token), start + clock::duration{3'000});
+        subject_.on_target_reported_dead(*known_.find_target(token),
+                                         start + clock::duration{3'000});
     }
     for (int i = 0; i < 300; ++i) {
         const auto made = open(start);
--- a/tests/steering_load_test.cpp
+++ b/tests/steering_load_test.cpp
@@ -7,7 +7,7 @@
 #include <deque>
 #include <random>
 
-#include "steering/flow_watch.h"
+#include "steering/flow_tracker.h"
 #include "steering/path_health.h"
 #include "steering/placement.h"
 
@@ -17,8 +17,8 @@
 using discovery::target;
 using steering::candidate;
 using steering::choose;
-using steering::flow_watch;
-using steering::no_choice;
+using steering::flow_tracker;
+using steering::placement_failure;
 using steering::segment;
 
 constexpr clock::time_point start = to_time_point(1'000'000);
@@ -43,41 +43,41 @@
     return result;
 }
 
-TEST(flow_watch, a_copy_of_an_opening_shuns_its_target_until_it_shows_life) {
+TEST(flow_tracker, a_copy_of_an_opening_shuns_its_target_until_it_shows_life) {
     // A target dies. The first caller waits 200 ms for nothing; others shouldn't have to.
-    flow_watch flows;
+    flow_tracker flows;
     flows.note_opening(opening(1), 11, start);
     flows.note_unanswered(opening(1).flow, start + clock::duration{200});
-    EXPECT_GT(flows.signs(11).shunned_until, start + clock::duration{1'600});
+    EXPECT_GT(flows.health(11).ejected_until, start + clock::duration{1'600});
     // A packet of another caller shows that it answers after all.
     flows.note_opening(opening(2), 11, start + clock::duration{300});
     flows.note_packet(later(2, 11, 100, 500, 0), start + clock::duration{310});
-    EXPECT_EQ(flows.signs(11).shunned_until, clock::time_point{});
+    EXPECT_EQ(flows.health(11).ejected_until, clock::time_point{});
 }
 
-TEST(flow_watch, one_lost_packet_does_not_shun_a_target_that_answers_others) {
-    flow_watch flows;
+TEST(flow_tracker, one_lost_packet_does_not_shun_a_target_that_answers_others) {
+    flow_tracker flows;
     flows.note_opening(opening(1), 11, start);
     flows.note_opening(opening(2), 11, start + clock::duration{50});
     flows.note_packet(later(2, 11, 100, 500, 0), start + clock::duration{60});
     flows.note_unanswered(opening(1).flow, start + clock::duration{200});
-    EXPECT_EQ(flows.signs(11).shunned_until, clock::time_point{});
+    EXPECT_EQ(flows.health(11).ejected_until, clock::time_point{});
 }
 
-TEST(flow_watch, measures_a_request_from_its_first_byte_to_the_answers_first) {
-    flow_watch flows;
+TEST(flow_tracker, measures_a_request_from_its_first_byte_to_the_answers_first) {
+    flow_tracker flows;
     flows.note_opening(opening(1), 11, start);
-    EXPECT_EQ(flows.signs(11).open_requests, 1);
+    EXPECT_EQ(flows.health(11).open_requests, 1);
     flows.note_packet(later(1, 11, 100, 500, 40), start + clock::duration{2});
-    EXPECT_EQ(flows.signs(11).open_requests, 1);
+    EXPECT_EQ(flows.health(11).open_requests, 1);
     const auto seen = flows.note_packet(later(1, 11, 140, 900, 0), start + clock::duration{30});
     EXPECT_TRUE(seen.is_answer);
     EXPECT_EQ(seen.answer_took, clock::duration{28});
-    EXPECT_EQ(flows.signs(11).open_requests, 0);
+    EXPECT_EQ(flows.health(11).open_requests, 0);
 }
 
-TEST(flow_watch, knows_data_that_is_sent_again) {
-    flow_watch flows;
+TEST(flow_tracker, knows_data_that_is_sent_again) {
+    flow_tracker flows;
     flows.note_opening(opening(1), 11, start);
     const auto data = later(1, 11, 100, 500, 40);
     EXPECT_EQ(flows.note_packet(data, start).repeats, 0);
@@ -91,7 +91,7 @@
     static constexpr clock::duration third_copy{600};
     static constexpr std::uint32_t silent = 11;
     static constexpr std::uint32_t lively = 12;
-    flow_watch flows_;
+    flow_tracker flows_;
 
     void SetUp() override {
         for (std::uint16_t port = 1; port <= 2; ++port) {
@@ -117,7 +117,7 @@
     answer_another(start + clock::duration{500});
     EXPECT_FALSE(send_third_copy(1).is_target_silent);
     EXPECT_TRUE(send_third_copy(2).is_target_silent);
-    EXPECT_GT(flows_.signs(silent).shunned_until, start + third_copy);
+    EXPECT_GT(flows_.health(silent).ejected_until, start + third_copy);
 }
 
 TEST_F(silent_target, is_not_told_from_an_own_link_that_is_full) {
@@ -157,7 +157,7 @@
 // and are read at once when it goes on, together with answers' acknowledgements of other flows. The
 // target never had any of them.
 TEST_F(silent_target, is_not_told_from_copies_that_waited_here) {
-    flow_watch flows;
+    flow_tracker flows;
     const auto resumed = start + clock::duration{1'000};
     for (std::uint16_t port = 1; port <= 3; ++port) {
         flows.note_opening(opening(port), silent, start);
@@ -193,8 +193,8 @@
         std::ranges::find(ended, later(4, silent, 0, 0, 0).flow, &steering::reset::flow);
     ASSERT_NE(idle, ended.end());
     EXPECT_EQ(idle->sequence, 777U);  // callers take resets near what they acknowledged last
-    EXPECT_EQ(flows_.signs(silent).open_requests, 2);
-    EXPECT_EQ(flows_.signs(lively).flows, 1);
+    EXPECT_EQ(flows_.health(silent).open_requests, 2);
+    EXPECT_EQ(flows_.health(lively).flows, 1);
     EXPECT_TRUE(flows_.end_flows_of(silent).empty());
 }
 
@@ -221,10 +221,10 @@
     EXPECT_FALSE(path.is_sound(now + clock::duration{400}));
 }
 
-TEST(flow_watch, a_slow_target_that_answers_anybody_is_not_silent) {
+TEST(flow_tracker, a_slow_target_that_answers_anybody_is_not_silent) {
     // A target takes a second for each answer; callers send their data three times meanwhile. It
     // has acknowledged some other caller since, so it lives.
-    flow_watch flows;
+    flow_tracker flows;
     constexpr clock::duration third{600};
     for (std::uint16_t port = 1; port <= 3; ++port) {
         flows.note_opening(opening(port), 11, start);
@@ -239,32 +239,32 @@
     }
 }
 
-TEST(flow_watch, an_acknowledgement_that_comes_with_the_next_request_is_no_sign_of_life) {
+TEST(flow_tracker, an_acknowledgement_that_comes_with_the_next_request_is_no_sign_of_life) {
     // The answer came seconds before; the target may have died since.
-    flow_watch flows;
+    flow_tracker flows;
     flows.note_opening(opening(1), 11, start);
     flows.note_packet(later(1, 11, 100, 500, 40), start);
     const auto much_later = start + clock::duration{3'000};
     const auto seen = flows.note_packet(later(1, 11, 140, 900, 40), much_later);
     EXPECT_FALSE(seen.is_answer);
-    EXPECT_EQ(flows.signs(11).answered_at, start);
-    EXPECT_EQ(flows.signs(11).open_requests, 1);
+    EXPECT_EQ(flows.health(11).answered_at, start);
+    EXPECT_EQ(flows.health(11).open_requests, 1);
 }
 
-TEST(flow_watch, a_flow_that_went_on_elsewhere_does_not_count_for_long) {
+TEST(flow_tracker, a_flow_that_went_on_elsewhere_does_not_count_for_long) {
     // An instance joins, the fabric reshuffles, and a flow's packets go through another instance
     // while a request is open. Counted on, it would keep the target full here for good.
-    flow_watch flows;
+    flow_tracker flows;
     flows.note_opening(opening(1), 11, start);
     flows.note_packet(later(1, 11, 100, 500, 40), start);
     flows.expire(start + clock::duration{2'100});
-    EXPECT_EQ(flows.signs(11).open_requests, 0);
+    EXPECT_EQ(flows.health(11).open_requests, 0);
 }
 
-TEST(flow_watch, a_flood_of_openings_does_not_grow_it_without_bound) {
-    steering::flow_watch_limits limits;
+TEST(flow_tracker, a_flood_of_openings_does_not_grow_it_without_bound) {
+    steering::flow_tracker_limits limits;
     limits.max_flows = 100;
-    flow_watch flows{limits};
+    flow_tracker flows{limits};
     for (std::uint16_t port = 1; port < 1'000; ++port) {
         flows.note_opening(opening(port), 11, start);
         flows.note_packet(later(port, 11, 100, 500, 40), start);
@@ -333,12 +333,12 @@
 TEST_F(steering_placement, says_that_all_are_saturated) {
     add(true).has_room = false;
     add(false).has_room = false;
-    EXPECT_EQ(std::get<no_choice>(choose(candidates_, 1, 0)), no_choice::saturated);
-    EXPECT_EQ(std::get<no_choice>(choose({}, 1, 0)), no_choice::no_target);
+    EXPECT_EQ(std::get<placement_failure>(choose(candidates_, 1, 0)), placement_failure::saturated);
+    EXPECT_EQ(std::get<placement_failure>(choose({}, 1, 0)), placement_failure::no_target);
 }
 
 TEST_F(steering_placement, tries_a_shunned_target_when_nothing_else_is_left) {
-    add(true).is_shunned = true;
+    add(true).is_ejected = true;
     EXPECT_EQ(chosen(1), 0U);
 }
 
@@ -347,7 +347,7 @@
 TEST_F(steering_placement, shunned_targets_take_what_the_others_cannot_when_most_are_shunned) {
     add(true).has_room = false;
     for (int i = 0; i < 3; ++i) {
-        add(true).is_shunned = true;
+        add(true).is_ejected = true;
     }
     EXPECT_NE(chosen(1), 0U);
     // While the fourth has room, it is preferred.
@@ -359,8 +359,8 @@
     // One of three has died; the others are full. A caller that is sent to it would wait in vain.
     add(true).has_room = false;
     add(true).has_room = false;
-    add(true).is_shunned = true;
-    EXPECT_EQ(std::get<no_choice>(choose(candidates_, 1, 0)), no_choice::saturated);
+    add(true).is_ejected = true;
+    EXPECT_EQ(std::get<placement_failure>(choose(candidates_, 1, 0)), placement_failure::saturated);
 }
 
 TEST_F(steering_placement, the_lighter_of_two_is_taken) {
--- a/tests/steering_turned_away_test.cpp
+++ b/tests/steering_rejection_summary_test.cpp
@@ -4,12 +4,12 @@
 #include <string>
 #include <vector>
 
-#include "steering/turned_away.h"
+#include "steering/rejection_summary.h"
 
 namespace bramleytrack {
 namespace {
 
-using steering::turned_away;
+using steering::rejection_summary;
 
 constexpr clock::time_point start = to_time_point(1'000'000);
 
@@ -21,10 +21,10 @@
     std::vector<std::string> lines;
 };
 
-TEST(turned_away, openings_without_a_line_are_told_by_cause_once_a_second) {
+TEST(rejection_summary, openings_without_a_line_are_told_by_cause_once_a_second) {
     // A rush: most refusals have no line. A caller asks why it was refused, and only the sums of
     // that second can say.
-    turned_away sums;
+    rejection_summary sums;
     kept_lines log;
     for (int i = 0; i < 700; ++i) {
         sums.add("board", "refuse", result_code::queue_full, i % 7 == 0);
@@ -44,14 +44,14 @@
     EXPECT_EQ(log.lines.size(), 3U);
 }
 
-TEST(turned_away, a_second_has_a_bounded_number_of_lines) {
-    turned_away sums;
+TEST(rejection_summary, a_second_has_a_bounded_number_of_lines) {
+    rejection_summary sums;
     kept_lines log;
     for (int i = 0; i < 1'000; ++i) {
         sums.add("service-" + std::to_string(i), "refuse", result_code::queue_full, false);
     }
     sums.report(log, "north", start);
-    EXPECT_EQ(log.lines.size(), turned_away::max_causes);
+    EXPECT_EQ(log.lines.size(), rejection_summary::max_causes);
 }
 
 }  // namespace
--- a/tests/steering_target_death_test.cpp
+++ b/tests/steering_target_death_test.cpp
@@ -150,7 +150,7 @@
 }
 
 TEST_F(steering_target_death, what_peers_say_keeps_new_flows_away_until_the_target_shows_life) {
-    subject_.on_target_said_dead(target("i-1"), start + clock::duration{3'000});
+    subject_.on_target_reported_dead(target("i-1"), start + clock::duration{3'000});
     for (std::uint16_t port = 10; port < 30; ++port) {
         EXPECT_EQ(target_of_new_flow(port, start + clock::duration{10}), "i-2");
     }
--- a/tests/steering_waiting_copies_test.cpp
+++ b/tests/steering_waiting_copies_test.cpp
@@ -117,12 +117,12 @@
     const auto later = start + clock::duration{1'650};
     subject_.on_segment(answer, {.is_complete = true, .confirmed = later}, later);
     subject_.expire(later);
-    int shunned = 0;
+    int ejected = 0;
     known_.for_each_target([&](const discovery::target& each) {
-        shunned += later < subject_.flows().signs(each.token).shunned_until ? 1 : 0;
+        ejected += later < subject_.flows().health(each.token).ejected_until ? 1 : 0;
     });
-    ASSERT_GT(2 * shunned, targets);
-    ASSERT_LT(shunned, targets);
+    ASSERT_GT(2 * ejected, targets);
+    ASSERT_LT(ejected, targets);
     constexpr std::uint16_t first = 100;
     constexpr std::uint16_t end = first + 4 * targets;
     for (std::uint16_t port = first; port < end; ++port) {
--- a/tests/store_feed_test.cpp
+++ b/tests/store_feed_test.cpp
@@ -76,7 +76,7 @@
     answer_read({written("a", 3)}, 3, start);
     EXPECT_TRUE(feed_.is_complete());
     EXPECT_EQ(feed_.confirmed_at(), clock::time_point{});
-    feed_.read_anew(start);
+    feed_.reread(start);
     EXPECT_EQ(store_.ranges.back().freshness, store::read_freshness::newest);
     answer_read({written("a", 3)}, 3, start);
     EXPECT_EQ(feed_.confirmed_at(), start);
@@ -154,15 +154,16 @@
     // every instance would take its watcher for deaf and watch itself.
     become_watching(start);
     const auto answered = start + clock::duration{1'910};
-    store_.watches.back().done(store::news{.events = {}, .revision = 3}, answered);
+    store_.watches.back().done(store::watch_result{.events = {}, .revision = 3}, answered);
     EXPECT_EQ(feed_.confirmed_at(), start + clock::duration{1'900});
 }
 
 TEST_F(store_feed, several_watchers_together_cost_what_one_does) {
     // Guards against six instances of a large fleet whose watches are all answered by each change.
-    feed_.set_watchers(4);
+    feed_.set_expected_watchers(4);
     become_watching(start);
-    store_.watches.back().done(store::news{.events = {written("b", 4)}, .revision = 4}, start);
+    store_.watches.back().done(store::watch_result{.events = {written("b", 4)}, .revision = 4},
+                               start);
     EXPECT_TRUE(feed_.is_pausing());
     feed_.tick(start + clock::duration{700});
     EXPECT_EQ(store_.watches.size(), 1U);
@@ -170,8 +171,8 @@
     EXPECT_EQ(store_.watches.size(), 2U);
     EXPECT_FALSE(feed_.is_pausing());
     // A change is never kept waiting for more than a second.
-    feed_.set_watchers(100);
-    store_.watches.back().done(store::news{.events = {written("c", 5)}, .revision = 5},
+    feed_.set_expected_watchers(100);
+    store_.watches.back().done(store::watch_result{.events = {written("c", 5)}, .revision = 5},
                                start + clock::duration{900});
     feed_.tick(start + clock::duration{1'900});
     EXPECT_EQ(store_.watches.size(), 3U);
@@ -181,7 +182,8 @@
     // A release changes a target each few milliseconds; a watch that begins anew at once is
     // answered for each of them.
     become_watching(start);
-    store_.watches.back().done(store::news{.events = {written("b", 4)}, .revision = 4}, start);
+    store_.watches.back().done(store::watch_result{.events = {written("b", 4)}, .revision = 4},
+                               start);
     feed_.tick(start + clock::duration{100});
     EXPECT_EQ(store_.watches.size(), 1U);
     feed_.tick(start + clock::duration{200});
@@ -193,7 +195,7 @@
     // It answers each watch at once, without news. Asked anew at once, 610 instances would make as
     // many calls as their connections take.
     become_watching(start);
-    store_.watches.back().done(store::news{.events = {}, .revision = 3}, start);
+    store_.watches.back().done(store::watch_result{.events = {}, .revision = 3}, start);
     feed_.tick(start + clock::duration{400});
     EXPECT_EQ(store_.watches.size(), 1U);
     feed_.tick(start + clock::duration{500});
@@ -202,11 +204,11 @@
 
 TEST_F(store_feed, begins_no_watch_while_none_is_wanted) {
     become_watching(start);
-    feed_.set_wanted(false);
-    store_.watches.back().done(store::news{.events = {}, .revision = 3}, start);
+    feed_.set_watch_enabled(false);
+    store_.watches.back().done(store::watch_result{.events = {}, .revision = 3}, start);
     feed_.tick(start + clock::duration{1'000});
     EXPECT_EQ(store_.watches.size(), 1U);
-    feed_.set_wanted(true);
+    feed_.set_watch_enabled(true);
     feed_.tick(start + clock::duration{1'100});
     EXPECT_EQ(store_.watches.size(), 2U);
 }
--- a/tests/store_mirror_test.cpp
+++ b/tests/store_mirror_test.cpp
@@ -138,33 +138,33 @@
     mirror known;
     known.replace(std::vector{written("a", 4), written("b", 5)}, 5);
     known.apply(std::vector<event>{removal{.key = "a", .revision = 7}});
-    const auto told = known.ended_items();
+    const auto told = known.removed_items();
     ASSERT_EQ(told.size(), 1U);
-    EXPECT_EQ(told.front(), (store::ended_item{.last = written("a", 4), .removed_at = 7}));
+    EXPECT_EQ(told.front(), (store::removed_item{.last = written("a", 4), .removed_at = 7}));
 
-    mirror newcomer;
-    newcomer.replace(std::vector{written("b", 5)}, 7);
-    const auto changed = newcomer.learn_ended(told);
+    mirror startup_recovery;
+    startup_recovery.replace(std::vector{written("b", 5)}, 7);
+    const auto changed = startup_recovery.apply_removed_items(told);
     ASSERT_EQ(changed.size(), 2U);
     EXPECT_EQ(std::get<item>(changed[0]), written("a", 4));
     EXPECT_EQ(std::get<removal>(changed[1]).revision, 7);
-    EXPECT_EQ(newcomer.items().size(), 1U);
-    EXPECT_EQ(newcomer.ended_items(), told);
+    EXPECT_EQ(startup_recovery.items().size(), 1U);
+    EXPECT_EQ(startup_recovery.removed_items(), told);
     // A second peer tells the same, and nothing changes.
-    EXPECT_TRUE(newcomer.learn_ended(told).empty());
+    EXPECT_TRUE(startup_recovery.apply_removed_items(told).empty());
     // Its next heartbeat lists it again.
-    EXPECT_EQ(newcomer.apply(std::vector<event>{written("a", 9)}).size(), 1U);
-    EXPECT_TRUE(newcomer.ended_items().empty());
+    EXPECT_EQ(startup_recovery.apply(std::vector<event>{written("a", 9)}).size(), 1U);
+    EXPECT_TRUE(startup_recovery.removed_items().empty());
 }
 
 TEST(store_mirror, what_is_known_is_not_undone_by_what_a_peer_remembers) {
-    mirror newcomer;
-    newcomer.replace(std::vector{written("a", 9)}, 9);
-    EXPECT_TRUE(
-        newcomer
-            .learn_ended(std::vector<store::ended_item>{{.last = written("a", 4), .removed_at = 7}})
-            .empty());
-    EXPECT_EQ(newcomer.items().size(), 1U);
+    mirror startup_recovery;
+    startup_recovery.replace(std::vector{written("a", 9)}, 9);
+    EXPECT_TRUE(startup_recovery
+                    .apply_removed_items(std::vector<store::removed_item>{
+                        {.last = written("a", 4), .removed_at = 7}})
+                    .empty());
+    EXPECT_EQ(startup_recovery.items().size(), 1U);
 }
 
 TEST(store_mirror, remembers_a_bounded_number_of_values_that_went) {
@@ -175,7 +175,7 @@
         known.apply(std::vector<event>{item{.key = key, .value = "v", .revision = 2 * i},
                                        removal{.key = key, .revision = 2 * i + 1}});
     }
-    EXPECT_EQ(known.ended_items().size(), 2'000U);
+    EXPECT_EQ(known.removed_items().size(), 2'000U);
 }
 
 }  // namespace
--- a/tests/store_watch_test.cpp
+++ b/tests/store_watch_test.cpp
@@ -10,9 +10,9 @@
 namespace bramleytrack {
 namespace {
 
-using store::found_item;
 using store::item;
-using store::news;
+using store::lookup_result;
+using store::watch_result;
 
 constexpr clock::time_point start = to_time_point(1'000'000);
 constexpr clock::duration at_once{5};
@@ -33,7 +33,8 @@
         return {.key = key, .value = "{}", .revision = revision};
     }
     void answer_read(std::int64_t revision) {
-        store_.gets.back().done(found_item{.content = value(revision), .revision = revision}, now_);
+        store_.gets.back().done(lookup_result{.content = value(revision), .revision = revision},
+                                now_);
     }
     // Ticks until the next call goes out, for ten seconds at the most; returns how long it took.
     clock::duration wait_for_call() {
@@ -54,7 +55,7 @@
     wait_for_call();
     ASSERT_EQ(store_.watches.size(), 1U);
     EXPECT_EQ(store_.watches.back().revision, 8);
-    store_.watches.back().done(news{.events = {value(9)}, .revision = 9}, now_);
+    store_.watches.back().done(watch_result{.events = {value(9)}, .revision = 9}, now_);
     EXPECT_EQ(told_.back().revision, 9);
     wait_for_call();
     EXPECT_EQ(store_.watches.back().revision, 9);
@@ -70,7 +71,7 @@
         wait_for_call();
         EXPECT_EQ(store_.watches.back().revision, 8);
         now_ += clock::duration{20'000};
-        store_.watches.back().done(news{.events = {}, .revision = 8}, now_);
+        store_.watches.back().done(watch_result{.events = {}, .revision = 8}, now_);
     }
     EXPECT_EQ(told_.size(), 1U);
     EXPECT_EQ(store_.gets.size(), 1U);
@@ -80,7 +81,8 @@
     answer_read(8);
     wait_for_call();
     store_.watches.back().done(
-        news{.events = {item{.key = key + "/draft", .value = "x", .revision = 9}}, .revision = 9},
+        watch_result{.events = {item{.key = key + "/draft", .value = "x", .revision = 9}},
+                     .revision = 9},
         now_);
     EXPECT_EQ(told_.size(), 1U);
 }
@@ -117,18 +119,19 @@
 TEST_F(store_watch, an_early_empty_answer_slows_the_watch_down) {
     answer_read(8);
     wait_for_call();
-    store_.watches.back().done(news{.events = {}, .revision = 8}, now_ + at_once);
+    store_.watches.back().done(watch_result{.events = {}, .revision = 8}, now_ + at_once);
     EXPECT_GE(wait_for_call(), clock::duration{500});
     now_ += clock::duration{20'000};
-    store_.watches.back().done(news{.events = {}, .revision = 8}, now_);
+    store_.watches.back().done(watch_result{.events = {}, .revision = 8}, now_);
     EXPECT_LE(wait_for_call(), clock::duration{60});
 }
 
 TEST_F(store_watch, reads_anew_when_a_peer_shows_another_text) {
     answer_read(8);
     wait_for_call();
-    subject_.read_anew();
-    store_.watches.back().done(news{.events = {}, .revision = 8}, now_ + clock::duration{20'000});
+    subject_.reread();
+    store_.watches.back().done(watch_result{.events = {}, .revision = 8},
+                               now_ + clock::duration{20'000});
     now_ += clock::duration{20'000};
     wait_for_call();
     ASSERT_EQ(store_.gets.size(), 2U);
@@ -141,7 +144,7 @@
 TEST_F(store_watch, history_that_is_gone_is_read_and_not_asked_for_at_once) {
     // The store forgets its history while the key doesn't exist: each read finds nothing and each
     // watch is refused. Without a pause that is a call after the other.
-    store_.gets.back().done(found_item{.content = std::nullopt, .revision = 0}, now_);
+    store_.gets.back().done(lookup_result{.content = std::nullopt, .revision = 0}, now_);
     wait_for_call();
     store_.watches.back().done(result_code::history_gone, now_);
     EXPECT_GE(wait_for_call(), clock::duration{250});
--- a/tests/store_write_test.cpp
+++ b/tests/store_write_test.cpp
@@ -108,12 +108,12 @@
     EXPECT_EQ(configuration::changes_between(base, theirs),
               (std::vector<change_mark>{{"theirs", "zone out north"}}));
     const auto now = session.read(key);
-    EXPECT_EQ(std::get<store::found_item>(now).content->value, theirs);
+    EXPECT_EQ(std::get<store::lookup_result>(now).content->value, theirs);
 }
 
 TEST_F(store_write, a_key_that_does_not_exist_is_an_answer) {
     // Before the first text there is nothing to read, which isn't an outage.
-    EXPECT_FALSE(std::get<store::found_item>(session.read(key)).content.has_value());
+    EXPECT_FALSE(std::get<store::lookup_result>(session.read(key)).content.has_value());
     set_fault("down", "1");
     EXPECT_EQ(std::get<result_code>(session.read(key)), result_code::store_unavailable);
 }
--- a/tests/support/fake_store.h
+++ b/tests/support/fake_store.h
@@ -12,7 +12,7 @@
 public:
     struct get_call {
         std::string key;
-        store::callback<store::found_item> done;
+        store::callback<store::lookup_result> done;
     };
     struct range_call {
         std::string after_key;
@@ -21,7 +21,7 @@
     };
     struct watch_call {
         std::int64_t revision = 0;
-        store::callback<store::news> done;
+        store::callback<store::watch_result> done;
     };
     struct commit_call {
         store::transaction wanted;
@@ -40,7 +40,7 @@
     std::vector<std::int64_t> ended_leases;
 
     void get(std::string_view key, clock::duration /*limit*/,
-             store::callback<store::found_item> done) override {
+             store::callback<store::lookup_result> done) override {
         gets.push_back({.key = std::string{key}, .done = std::move(done)});
     }
     void range(std::string_view /*prefix*/, std::string_view after_key,
@@ -50,7 +50,7 @@
             {.after_key = std::string{after_key}, .freshness = freshness, .done = std::move(done)});
     }
     void watch(std::string_view /*prefix*/, std::int64_t revision, clock::duration /*wait*/,
-               clock::duration /*limit*/, store::callback<store::news> done) override {
+               clock::duration /*limit*/, store::callback<store::watch_result> done) override {
         watches.push_back({.revision = revision, .done = std::move(done)});
     }
     void commit(const store::transaction& wanted, clock::duration /*limit*/,
--- a/tests/support/steering_session.cpp
+++ b/tests/support/steering_session.cpp
@@ -70,7 +70,7 @@
 
 void steering_session::node::ask(const discovery::peer_entry& peer,
                                  discovery::routing_token token) {
-    session.instance_named(peer.name).inquiries.on_question(name, token, session.now_);
+    session.instance_named(peer.name).inquiries.on_probe_request(name, token, session.now_);
 }
 
 void steering_session::node::answer(const discovery::peer_entry& peer,
@@ -86,9 +86,9 @@
     session.note_resets(*this);
 }
 
-void steering_session::node::on_said_dead(const discovery::target& target,
-                                          clock::time_point until) {
-    subject.on_target_said_dead(target, until);
+void steering_session::node::on_reported_dead(const discovery::target& target,
+                                              clock::time_point until) {
+    subject.on_target_reported_dead(target, until);
 }
 
 void steering_session::node::on_reached(const discovery::target& target) {
@@ -210,8 +210,8 @@
         for (const auto& to : nodes_) {
             to->digests.on_digest(from->name, content, now_);
             for (const auto& each : dead) {
-                const bool has_flows = to->subject.flows().signs(each.token).flows > 0;
-                to->inquiries.on_said_dead(from->name, each, has_flows, now_);
+                const bool has_flows = to->subject.flows().health(each.token).flows > 0;
+                to->inquiries.on_reported_dead(from->name, each, has_flows, now_);
             }
         }
     }
--- a/tests/support/steering_session.h
+++ b/tests/support/steering_session.h
@@ -21,7 +21,7 @@
 
 #include "discovery/directory.h"
 #include "fleet/peer_digests.h"
-#include "fleet/target_inquiry.h"
+#include "fleet/target_failure_detector.h"
 #include "steering/steering.h"
 
 namespace bramleytrack::testing {
@@ -42,7 +42,7 @@
     };
 
     // One instance: what it knows, and what decides.
-    struct node final : private fleet::inquiry_actions {
+    struct node final : private fleet::failure_detector_actions {
         node(steering_session& owner, std::string own_name, const std::string& zone);
 
         void probe(const discovery::target& target) override;
@@ -51,7 +51,7 @@
                     bool is_reachable) override;
         void on_dead(const discovery::target& target, clock::time_point probed_at,
                      std::span<const std::string> confirmed_by, clock::time_point now) override;
-        void on_said_dead(const discovery::target& target, clock::time_point until) override;
+        void on_reported_dead(const discovery::target& target, clock::time_point until) override;
         void on_reached(const discovery::target& target) override;
 
         steering_session& session;
@@ -60,7 +60,7 @@
         fleet::peer_digests digests;
         steering::cold_gate cold;
         steering::steering subject;
-        fleet::target_inquiries inquiries;
+        fleet::target_failure_detector inquiries;
         std::vector<std::size_t> missed;  // of published_
     };
     struct publication {
