--- a/tests/store_mirror_test.cpp
+++ b/tests/store_mirror_test.cpp
@@ -142,29 +142,29 @@
     ASSERT_EQ(told.size(), 1U);
     EXPECT_EQ(told.front(), (store::removed_item{.last = written("a", 4), .removed_at = 7}));
 
-    mirror startup_recovery;
-    startup_recovery.replace(std::vector{written("b", 5)}, 7);
-    const auto changed = startup_recovery.apply_removed_items(told);
+    mirror newcomer;
+    newcomer.replace(std::vector{written("b", 5)}, 7);
+    const auto changed = newcomer.apply_removed_items(told);
     ASSERT_EQ(changed.size(), 2U);
     EXPECT_EQ(std::get<item>(changed[0]), written("a", 4));
     EXPECT_EQ(std::get<removal>(changed[1]).revision, 7);
-    EXPECT_EQ(startup_recovery.items().size(), 1U);
-    EXPECT_EQ(startup_recovery.removed_items(), told);
+    EXPECT_EQ(newcomer.items().size(), 1U);
+    EXPECT_EQ(newcomer.removed_items(), told);
     // A second peer tells the same, and nothing changes.
-    EXPECT_TRUE(startup_recovery.apply_removed_items(told).empty());
+    EXPECT_TRUE(newcomer.apply_removed_items(told).empty());
     // Its next heartbeat lists it again.
-    EXPECT_EQ(startup_recovery.apply(std::vector<event>{written("a", 9)}).size(), 1U);
-    EXPECT_TRUE(startup_recovery.removed_items().empty());
+    EXPECT_EQ(newcomer.apply(std::vector<event>{written("a", 9)}).size(), 1U);
+    EXPECT_TRUE(newcomer.removed_items().empty());
 }
 
 TEST(store_mirror, what_is_known_is_not_undone_by_what_a_peer_remembers) {
-    mirror startup_recovery;
-    startup_recovery.replace(std::vector{written("a", 9)}, 9);
-    EXPECT_TRUE(startup_recovery
+    mirror newcomer;
+    newcomer.replace(std::vector{written("a", 9)}, 9);
+    EXPECT_TRUE(newcomer
                     .apply_removed_items(std::vector<store::removed_item>{
                         {.last = written("a", 4), .removed_at = 7}})
                     .empty());
-    EXPECT_EQ(startup_recovery.items().size(), 1U);
+    EXPECT_EQ(newcomer.items().size(), 1U);
 }
 
 TEST(store_mirror, remembers_a_bounded_number_of_values_that_went) {
