--- a/services/bramleyd/balancer_daemon.h
+++ b/services/bramleyd/balancer_daemon.h
@@ -1,5 +1,6 @@
-// The balancer daemon: turns datagrams, platform answers and timers into events of the core, and
-// the core's actions into datagrams and log lines. It decides nothing itself.
+// I/O of an instance that routes by target ownership. Passes datagrams, store and HTTP responses,
+// and timer events to the core (`instance`), and performs the actions that the core returns:
+// sending datagrams, writing log lines and updating metrics. All decisions are made in the core.
 #pragma once
 
 #include <ev++.h>
@@ -19,21 +20,21 @@
 
 class balancer_daemon {
 public:
-    // Throws std::system_error or std::runtime_error when an address can't be bound.
+    // Throws std::system_error or std::runtime_error if an address cannot be bound.
     balancer_daemon(ev::loop_ref loop, settings::instance_settings settings, store::client& store);
 
 private:
     void on_tick(ev::timer& watcher, int events);
     void on_signal(ev::sig& watcher, int events);
-    void ask_instance_list();
-    void act();
-    void carry_out(const send_to_caller& wanted);
-    void carry_out(const send_to_target& wanted);
-    void carry_out(const send_to_peer& wanted);
-    void carry_out(const log_event& wanted);
-    void carry_out(const request_ended& wanted);
-    void serve(const net::http_request& request, const net::http_responder& respond);
-    std::string status_text() const;
+    void request_instance_list();
+    void perform_actions();
+    void perform(const send_to_caller& message);
+    void perform(const send_to_target& message);
+    void perform(const send_to_peer& message);
+    void perform(const log_event& event);
+    void perform(const request_ended& event);
+    void handle_admin_request(const net::http_request& request, const net::http_responder& respond);
+    std::string render_status() const;
 
     settings::instance_settings settings_;
     ev::loop_ref loop_;
@@ -41,15 +42,15 @@
     wire::encoder encoder_;
     instance core_;
     observability::metrics metrics_;
-    net::udp_endpoint peers_;
-    net::udp_endpoint callers_;
-    net::udp_endpoint targets_;
-    net::http_server admin_;
-    net::http_client http_;
-    store::key_watch configuration_;
-    ev::timer ticker_;
-    ev::sig terminate_;
-    clock::time_point next_list_request_;
+    net::udp_endpoint peer_socket_;
+    net::udp_endpoint caller_socket_;
+    net::udp_endpoint target_socket_;
+    net::http_server admin_server_;
+    net::http_client http_client_;
+    store::key_watch configuration_watch_;
+    ev::timer tick_timer_;
+    ev::sig terminate_signal_;
+    clock::time_point next_instance_list_request_;
     std::int64_t rejected_datagrams_ = 0;
 };
 
