--- a/services/bramleyd/peer_exchange.cpp
+++ b/services/bramleyd/peer_exchange.cpp
@@ -7,32 +7,32 @@
 namespace bramleytrack {
 namespace {
 
-// Four digests fit into the freshness that receivers expect; with 200 bytes to eight peers each, an
-// instance sends 5 KB a second.
+// Four digests are sent within digest_limits::freshness, after which receivers disregard a peer's
+// last digest. At 200 bytes to each of eight peers, an instance sends 5 KB a second.
 constexpr clock::duration digest_interval{300};
-// Peers answer from memory; one that is slower is no better than the store itself.
-constexpr clock::duration pull_limit{700};
-// After a pull that failed, so that a peer that is gone isn't asked at each tick.
-constexpr clock::duration pull_pause{200};
-// Small instances have 10 Mbit/s for everything. A text of 300 KB, some 30 KB compressed, is
-// fetched once a second at most, however quickly one follows the other; the bound for a change is 3
-// s.
-constexpr std::int64_t pulled_bytes_per_millisecond = 300;
-constexpr clock::duration longest_pull_pause{1'000};
+// Peers respond from memory. Waiting longer for one is no better than reading the store itself.
+constexpr clock::duration pull_timeout{700};
+// Delay after a failed pull, so that an unreachable peer is not queried at each tick.
+constexpr clock::duration failed_pull_pause{200};
+// Small instances have 10 Mbit/s for all traffic. At this rate a configuration of 300 KB, about 30
+// KB compressed, is pulled at most once a second, however often it changes. A change must be in
+// force within 3 s.
+constexpr std::int64_t max_pull_bytes_per_millisecond = 300;
+constexpr clock::duration max_pull_pause{1'000};
 constexpr std::string_view changes_path = "/changes";
-constexpr std::string_view ended_path = "/ended";
+constexpr std::string_view removed_items_path = "/ended";
 constexpr int http_ok = 200;
 constexpr int http_not_found = 404;
 constexpr int http_unavailable = 503;
 
-wire::store_record record_of(const store::event& subject) {
+wire::store_record to_wire_record(const store::event& event) {
     wire::store_record result;
-    if (const auto* item = std::get_if<store::item>(&subject)) {
+    if (const auto* item = std::get_if<store::item>(&event)) {
         result.key = item->key;
         result.value = item->value;
         result.revision = item->revision;
     } else {
-        const auto& removal = std::get<store::removal>(subject);
+        const auto& removal = std::get<store::removal>(event);
         result.key = removal.key;
         result.revision = removal.revision;
         result.is_removed = true;
@@ -40,7 +40,8 @@
     return result;
 }
 
-std::int64_t age_in_milliseconds(clock::time_point since, clock::time_point now) {
+// Returns -1 if `since` is the epoch, which stands for never.
+std::int64_t milliseconds_since(clock::time_point since, clock::time_point now) {
     return since == clock::time_point{} ? -1 : (now - since).count();
 }
 
@@ -55,113 +56,116 @@
       mirror_{mirror},
       digests_{digests},
       log_{log},
-      digests_socket_{loop, settings.peer_address,
-                      [this](std::string_view, std::span<const std::uint8_t> datagram) {
-                          on_datagram(datagram);
-                      }},
+      digest_socket_{loop, settings.peer_address,
+                     [this](std::string_view, std::span<const std::uint8_t> datagram) {
+                         on_datagram(datagram);
+                     }},
       pull_server_{loop, settings.pull_address,
                    [this](const net::http_request& request, const net::http_responder& respond) {
-                       serve(request, respond);
+                       handle_pull_request(request, respond);
                    }},
-      http_{loop},
+      http_client_{loop},
       incarnation_{to_milliseconds(clock::now())} {
     std::erase(seeds_, settings.advertised_pull_address);
 }
 
-void peer_exchange::tick(const digest_facts& facts, const steering::steering& core,
+void peer_exchange::tick(const digest_state& state, const steering::steering& core,
                          clock::time_point now) {
-    const bool has_news =
-        facts.known_revision > told_.known_revision || (inquiries_ && inquiries_->has_news());
-    if (now < next_digest_ && !has_news) {
+    const bool is_urgent = state.known_revision > last_sent_state_.known_revision ||
+                           (failure_detector_ && failure_detector_->has_news());
+    if (now < next_digest_ && !is_urgent) {
         return;
     }
     next_digest_ = now + digest_interval;
-    told_ = facts;
-    wire::digest content;
-    content.known_revision = facts.known_revision;
-    content.confirmed_ms_ago = age_in_milliseconds(facts.confirmed, now);
-    content.has_lost_store = facts.has_lost_store;
-    content.is_stopping = facts.is_stopping;
-    content.loads = digests_.loads_of(core.flows());
-    content.demands = digests_.demands_of(core.demands(), core.flows(), now);
-    if (inquiries_ != nullptr) {
-        for (const auto& each : inquiries_->take_verdicts(now)) {
-            auto& report = content.dead.emplace_back();
+    last_sent_state_ = state;
+    wire::digest digest;
+    digest.known_revision = state.known_revision;
+    digest.confirmed_ms_ago = milliseconds_since(state.confirmed_at, now);
+    digest.has_lost_store = state.has_lost_store;
+    digest.is_stopping = state.is_stopping;
+    digest.loads = digests_.loads_of(core.flows());
+    digest.demands = digests_.demands_of(core.demands(), core.flows(), now);
+    if (failure_detector_ != nullptr) {
+        for (const auto& each : failure_detector_->take_verdicts(now)) {
+            auto& report = digest.dead.emplace_back();
             report.token = static_cast<std::int32_t>(each.token);
             report.age_ms = static_cast<std::int32_t>(each.age.count());
         }
     }
-    auto wanted = message();
-    wanted.__set_fleet_digest(content);
-    const auto datagram = encoder_.encode(wanted, key_);
+    auto message = new_message();
+    message.__set_fleet_digest(digest);
+    const auto datagram = encoder_.encode(message, key_);
     for (const auto* receiver : digests_.next_receivers()) {
-        digests_socket_.send(receiver->address, datagram);
+        digest_socket_.send(receiver->address, datagram);
     }
 }
 
-wire::peer_message peer_exchange::message() const {
+wire::peer_message peer_exchange::new_message() const {
     wire::peer_message result;
     result.sender = name_;
     result.incarnation = incarnation_;
     return result;
 }
 
-void peer_exchange::ask_whether_reachable(const discovery::peer_entry& peer,
-                                          discovery::routing_token token) {
-    wire::reach_question question;
-    question.token = static_cast<std::int32_t>(token);
-    auto wanted = message();
-    wanted.__set_reach_asked(question);
-    digests_socket_.send(peer.address, encoder_.encode(wanted, key_));
+void peer_exchange::send_probe_request(const discovery::peer_entry& peer,
+                                       discovery::routing_token token) {
+    wire::reach_question request;
+    request.token = static_cast<std::int32_t>(token);
+    auto message = new_message();
+    message.__set_reach_asked(request);
+    digest_socket_.send(peer.address, encoder_.encode(message, key_));
 }
 
-void peer_exchange::tell_whether_reachable(const discovery::peer_entry& peer,
-                                           discovery::routing_token token, bool is_reachable) {
-    wire::reach_answer answer;
-    answer.token = static_cast<std::int32_t>(token);
-    answer.is_reachable = is_reachable;
-    auto wanted = message();
-    wanted.__set_reach_answered(answer);
-    digests_socket_.send(peer.address, encoder_.encode(wanted, key_));
+void peer_exchange::send_probe_result(const discovery::peer_entry& peer,
+                                      discovery::routing_token token, bool is_reachable) {
+    wire::reach_answer result;
+    result.token = static_cast<std::int32_t>(token);
+    result.is_reachable = is_reachable;
+    auto message = new_message();
+    message.__set_reach_answered(result);
+    digest_socket_.send(peer.address, encoder_.encode(message, key_));
 }
 
 void peer_exchange::on_datagram(std::span<const std::uint8_t> datagram) {
     auto decoded = wire::decode_peer_message(datagram, key_);
-    auto* told = std::get_if<wire::peer_message>(&decoded);
-    if (told == nullptr) {
-        ++rejected_;
+    auto* message = std::get_if<wire::peer_message>(&decoded);
+    if (message == nullptr) {
+        ++rejected_messages_;
         return;
     }
     const auto now = clock::now();
-    if (told->__isset.fleet_digest) {
-        on_digest_of(told->sender, std::move(told->fleet_digest), now);
-    } else if (told->__isset.reach_asked) {
-        question_(told->sender, static_cast<discovery::routing_token>(told->reach_asked.token),
-                  now);
-    } else if (told->__isset.reach_answered) {
-        answer_(told->sender, static_cast<discovery::routing_token>(told->reach_answered.token),
-                told->reach_answered.is_reachable, now);
+    if (message->__isset.fleet_digest) {
+        on_peer_digest(message->sender, std::move(message->fleet_digest), now);
+    } else if (message->__isset.reach_asked) {
+        probe_request_callback_(message->sender,
+                                static_cast<discovery::routing_token>(message->reach_asked.token),
+                                now);
+    } else if (message->__isset.reach_answered) {
+        probe_result_callback_(message->sender,
+                               static_cast<discovery::routing_token>(message->reach_answered.token),
+                               message->reach_answered.is_reachable, now);
     } else {
-        ++rejected_;
+        ++rejected_messages_;
     }
 }
 
-void peer_exchange::on_digest_of(const std::string& peer, wire::digest content,
-                                 clock::time_point now) {
-    const bool has_news = content.known_revision > mirror_.revision();
-    const auto dead = std::exchange(content.dead, {});
+void peer_exchange::on_peer_digest(const std::string& peer, wire::digest content,
+                                   clock::time_point now) {
+    const bool is_newer = content.known_revision > mirror_.revision();
+    const auto dead_targets = std::exchange(content.dead, {});
     digests_.on_digest(peer, std::move(content), now);
-    if (!dead.empty()) {
-        verdicts_(peer, dead, now);
+    if (!dead_targets.empty()) {
+        dead_targets_callback_(peer, dead_targets, now);
     }
-    if (has_news) {
-        has_news_(now);
+    if (is_newer) {
+        newer_revision_callback_(now);
     }
 }
 
-void peer_exchange::serve(const net::http_request& request, const net::http_responder& respond) {
-    const bool is_known = request.path == changes_path || request.path == ended_path;
-    if (!is_known) {
+void peer_exchange::handle_pull_request(const net::http_request& request,
+                                        const net::http_responder& respond) {
+    const bool is_known_path = request.path == changes_path || request.path == removed_items_path;
+    if (!is_known_path) {
         respond({.status = http_not_found, .body = ""});
         return;
     }
@@ -169,82 +173,84 @@
         respond({.status = http_unavailable, .body = ""});
         return;
     }
-    if (request.path == ended_path) {
+    if (request.path == removed_items_path) {
         respond({.status = http_ok,
-                 .body = removed_items(),
+                 .body = encode_removed_items(),
                  .content_type = "application/octet-stream"});
         return;
     }
-    const auto text = request.query_or("after", "0");
+    const auto after_text = request.query_or("after", "0");
     std::int64_t after = 0;
-    (void)std::from_chars(text.data(), text.data() + text.size(), after);  // 0: tell everything
+    // Stays 0, which requests all items, if the text is not a number.
+    (void)std::from_chars(after_text.data(), after_text.data() + after_text.size(), after);
     respond({.status = http_ok,
-             .body = changes_since(after),
+             .body = encode_changes_since(after),
              .content_type = "application/octet-stream"});
 }
 
-// Peers that fell behind together ask the same question, so the last answer is kept.
-const std::string& peer_exchange::changes_since(std::int64_t after) {
+// Peers that fell behind at the same time request the same changes, so the last response is cached.
+const std::string& peer_exchange::encode_changes_since(std::int64_t after) {
     const auto now = clock::now();
-    const bool is_kept = kept_after_ == after && kept_revision_ == mirror_.revision() &&
-                         now - kept_at_ < digest_interval;
-    if (is_kept) {
-        return kept_answer_;
+    const bool is_cached = cached_after_ == after && cached_revision_ == mirror_.revision() &&
+                           now - cached_at_ < digest_interval;
+    if (is_cached) {
+        return cached_changes_;
     }
-    wire::store_changes answer;
-    answer.revision = mirror_.revision();
-    answer.confirmed_ms_ago = age_in_milliseconds(told_.confirmed, now);
+    wire::store_changes response;
+    response.revision = mirror_.revision();
+    response.confirmed_ms_ago = milliseconds_since(last_sent_state_.confirmed_at, now);
     const auto changes = mirror_.changes_since(after);
-    answer.is_whole = !changes.has_value();
+    response.is_whole = !changes.has_value();
     if (changes) {
         for (const auto& each : *changes) {
-            answer.records.push_back(record_of(each));
+            response.records.push_back(to_wire_record(each));
         }
     } else {
         for (auto& each : mirror_.items()) {
-            answer.records.push_back(record_of(std::move(each)));
+            response.records.push_back(to_wire_record(std::move(each)));
         }
     }
-    kept_answer_ = wire::encode_store_changes(answer, key_);
-    kept_after_ = after;
-    kept_revision_ = answer.revision;
-    kept_at_ = now;
-    return kept_answer_;
+    cached_changes_ = wire::encode_store_changes(response, key_);
+    cached_after_ = after;
+    cached_revision_ = response.revision;
+    cached_at_ = now;
+    return cached_changes_;
 }
 
-std::string peer_exchange::removed_items() const {
-    wire::store_changes answer;
-    answer.revision = mirror_.revision();
+std::string peer_exchange::encode_removed_items() const {
+    wire::store_changes response;
+    response.revision = mirror_.revision();
     for (const auto& each : mirror_.removed_items()) {
-        auto& record = answer.records.emplace_back();
+        auto& record = response.records.emplace_back();
         record.key = each.last.key;
         record.value = each.last.value;
         record.value_revision = each.last.revision;
         record.revision = each.removed_at;
         record.is_removed = true;
     }
-    return wire::encode_store_changes(answer, key_);
+    return wire::encode_store_changes(response, key_);
 }
 
-void peer_exchange::ask_for_ended(const fleet::pull& from, ended_callback done) {
-    http_.get("http://" + from.address + std::string{ended_path}, pull_limit,
-              [this, peer = from.peer, done = std::move(done)](const net::http_result& answer) {
-                  on_ended(peer, answer, done);
-              });
+void peer_exchange::request_removed_items(const fleet::pull& from, removed_items_callback done) {
+    http_client_.get(
+        "http://" + from.address + std::string{removed_items_path}, pull_timeout,
+        [this, peer = from.peer, done = std::move(done)](const net::http_result& response) {
+            on_removed_items(peer, response, done);
+        });
 }
 
-void peer_exchange::on_ended(const std::string& peer, const net::http_result& answer,
-                             const ended_callback& done) {
+void peer_exchange::on_removed_items(const std::string& peer, const net::http_result& response,
+                                     const removed_items_callback& done) {
     const auto now = clock::now();
     const auto decoded =
-        answer.status == http_ok
-            ? wire::decode_store_changes(answer.body, key_)
+        response.status == http_ok
+            ? wire::decode_store_changes(response.body, key_)
             : std::variant<wire::store_changes, result_code>{result_code::store_unavailable};
     const auto* changes = std::get_if<wire::store_changes>(&decoded);
-    std::vector<store::removed_item> told;
+    std::vector<store::removed_item> removed;
     if (changes != nullptr) {
         for (const auto& each : changes->records) {
-            told.push_back(
+            removed.push_back(
                 {.last = {.key = each.key, .value = each.value, .revision = each.value_revision},
                  .removed_at = each.revision});
         }
@@ -252,8 +258,8 @@
     log_.write(log_event{"asked_for_ended"}
                    .with("peer", peer)
                    .with("answered", changes == nullptr ? "no" : "yes")
-                   .with("records", static_cast<std::int64_t>(told.size())));
-    done(told, now);
+                   .with("records", static_cast<std::int64_t>(removed.size())));
+    done(removed, now);
 }
 
 void peer_exchange::fetch(const fleet::pull& from, clock::time_point now) {
@@ -263,9 +269,10 @@
     is_pulling_ = true;
     const auto url = "http://" + from.address + std::string{changes_path} +
                      "?after=" + std::to_string(mirror_.revision());
-    http_.get(url, pull_limit, [this, peer = from.peer, now](const net::http_result& answer) {
-        on_answer(peer, answer, now);
-    });
+    http_client_.get(url, pull_timeout,
+                     [this, peer = from.peer, now](const net::http_result& response) {
+                         on_pull_response(peer, response, now);
+                     });
 }
 
 void peer_exchange::fetch_from_seed(clock::time_point now) {
@@ -279,18 +286,18 @@
     fetch({.peer = "seed", .address = address}, now);
 }
 
-void peer_exchange::on_answer(const std::string& peer, const net::http_result& answer,
-                              clock::time_point sent) {
+void peer_exchange::on_pull_response(const std::string& peer, const net::http_result& response,
+                                     clock::time_point sent_at) {
     const auto now = clock::now();
     is_pulling_ = false;
-    next_pull_ = now + pull_pause;
-    if (answer.status != http_ok) {
+    next_pull_ = now + failed_pull_pause;
+    if (response.status != http_ok) {
         return;
     }
-    const auto decoded = wire::decode_store_changes(answer.body, key_);
+    const auto decoded = wire::decode_store_changes(response.body, key_);
     const auto* changes = std::get_if<wire::store_changes>(&decoded);
     if (changes == nullptr) {
-        ++rejected_;
+        ++rejected_messages_;
         return;
     }
     std::int64_t bytes = 0;
@@ -298,14 +305,15 @@
         bytes += static_cast<std::int64_t>(each.value.size());
     }
     next_pull_ =
-        now + std::min(longest_pull_pause, clock::duration{bytes / pulled_bytes_per_millisecond});
-    pulled result;
+        now + std::min(max_pull_pause, clock::duration{bytes / max_pull_bytes_per_millisecond});
+    pull_result result;
     result.revision = changes->revision;
     result.is_whole = changes->is_whole;
-    // The age counts from when the peer answered, which was after the question was sent.
-    result.confirmed = changes->confirmed_ms_ago < 0
-                           ? clock::time_point{}
-                           : sent - clock::duration{changes->confirmed_ms_ago};
+    // The reported age counts from when the peer responded. Subtracting it from the earlier time at
+    // which the request was sent never makes the confirmation look newer than it is.
+    result.confirmed_at = changes->confirmed_ms_ago < 0
+                              ? clock::time_point{}
+                              : sent_at - clock::duration{changes->confirmed_ms_ago};
     for (const auto& each : changes->records) {
         if (each.is_removed) {
             result.events.emplace_back(store::removal{.key = each.key, .revision = each.revision});
@@ -322,9 +330,9 @@
                        .with("peer", peer)
                        .with("revision", result.revision)
                        .with("records", static_cast<std::int64_t>(changes->records.size()))
-                       .with("confirmed_ms_ago", age_in_milliseconds(result.confirmed, now)));
+                       .with("confirmed_ms_ago", milliseconds_since(result.confirmed_at, now)));
     }
-    pulled_(result, now);
+    pull_callback_(result, now);
 }
 
 }  // namespace bramleytrack
--- a/services/bramleyd/peer_exchange.h
+++ b/services/bramleyd/peer_exchange.h
@@ -1,5 +1,7 @@
-// Digests and pulls between instances that route by token: sockets and calls for what fleet/
-// decides.
+// Exchange of digests and store changes between instances that route by token.
+//
+// Owns the sockets and the HTTP calls. What is sent, to which peers, and which peer is pulled from
+// is decided in libraries/fleet.
 #pragma once
 
 #include <ev++.h>
@@ -22,77 +24,89 @@
 
 namespace bramleytrack {
 
-// What a digest tells besides the loads.
-struct digest_facts {
+// The state of this instance that a digest reports in addition to target loads and demands.
+struct digest_state {
     std::int64_t known_revision = 0;
-    clock::time_point confirmed;  // the epoch when never
+    clock::time_point confirmed_at;  // the epoch if never
     bool has_lost_store = false;
     bool is_stopping = false;
 };
 
 class peer_exchange {
 public:
-    // What a peer holds that this instance lacked: `is_whole` replaces everything.
-    struct pulled {
+    // Store changes that a peer holds and this instance lacks.
+    struct pull_result {
         std::vector<store::event> events;
-        std::vector<store::item> items;  // when is_whole
+        std::vector<store::item> items;  // only if `is_whole`
         std::int64_t revision = 0;
-        bool is_whole = false;
-        clock::time_point confirmed;
+        bool is_whole = false;  // `items` replaces the entire local mirror
+        clock::time_point confirmed_at;
     };
-    using pulled_callback = std::function<void(const pulled&, clock::time_point now)>;
+    using pull_callback = std::function<void(const pull_result&, clock::time_point now)>;
 
     peer_exchange(ev::loop_ref loop, const settings::steering_settings& settings,
                   const store::mirror& mirror, fleet::peer_digests& digests, event_log& log);
 
-    void on_pulled(pulled_callback callback) { pulled_ = std::move(callback); }
-    // A peer's digest tells of a revision that isn't known here.
-    void on_digest(std::function<void(clock::time_point now)> callback) {
-        has_news_ = std::move(callback);
+    void on_pull_result(pull_callback callback) { pull_callback_ = std::move(callback); }
+    // Called when a peer's digest reports a revision newer than the local mirror's.
+    void on_newer_revision(std::function<void(clock::time_point now)> callback) {
+        newer_revision_callback_ = std::move(callback);
     }
 
-    using question_callback = std::function<void(
+    using probe_request_callback = std::function<void(
         std::string_view peer, discovery::routing_token token, clock::time_point now)>;
-    using answer_callback =
+    using probe_result_callback =
         std::function<void(std::string_view peer, discovery::routing_token token, bool is_reachable,
                            clock::time_point now)>;
-    using verdicts_callback =
-        std::function<void(std::string_view peer, std::span<const wire::dead_target_report> told,
+    using dead_targets_callback =
+        std::function<void(std::string_view peer, std::span<const wire::dead_target_report> reports,
                            clock::time_point now)>;
-    // A peer asks whether a target can be reached from here, or answers that, or tells of dead
-    // ones.
-    void on_probe_request(question_callback callback) { question_ = std::move(callback); }
-    void on_answer(answer_callback callback) { answer_ = std::move(callback); }
-    void on_verdicts(verdicts_callback callback) { verdicts_ = std::move(callback); }
-    // Where digests take the dead targets from that they tell of.
-    void tell_verdicts_of(fleet::target_failure_detector& inquiries) { inquiries_ = &inquiries; }
-    void ask_whether_reachable(const discovery::peer_entry& peer, discovery::routing_token token);
-    void tell_whether_reachable(const discovery::peer_entry& peer, discovery::routing_token token,
-                                bool is_reachable);
+    // Called when a peer requests an indirect probe of a target.
+    void on_probe_request(probe_request_callback callback) {
+        probe_request_callback_ = std::move(callback);
+    }
+    // Called when a peer returns the result of an indirect probe.
+    void on_probe_result(probe_result_callback callback) {
+        probe_result_callback_ = std::move(callback);
+    }
+    // Called when a peer's digest reports dead targets.
+    void on_dead_targets(dead_targets_callback callback) {
+        dead_targets_callback_ = std::move(callback);
+    }
+    // Sets the detector whose verdicts on dead targets are included in digests.
+    void set_failure_detector(fleet::target_failure_detector& detector) {
+        failure_detector_ = &detector;
+    }
+    void send_probe_request(const discovery::peer_entry& peer, discovery::routing_token token);
+    void send_probe_result(const discovery::peer_entry& peer, discovery::routing_token token,
+                           bool is_reachable);
 
-    // Sends a digest when one is due, or at once when the revision has risen or a target died.
-    void tick(const digest_facts& facts, const steering::steering& core, clock::time_point now);
-    // Fetches from a peer unless a pull is under way.
+    // Sends a digest if one is due, or at once if the revision has risen or there is a new verdict
+    // on a dead target.
+    void tick(const digest_state& state, const steering::steering& core, clock::time_point now);
+    // Pulls store changes from a peer unless a pull is in progress.
     void fetch(const fleet::pull& from, clock::time_point now);
-    // Asks a peer which keys have ended lately; `done` is called in any case.
-    using ended_callback =
-        std::function<void(std::span<const store::removed_item> told, clock::time_point now)>;
-    void ask_for_ended(const fleet::pull& from, ended_callback done);
-    // Asks one of the seeds, for a start while the store is away.
+    // Requests the keys that were removed recently from a peer. `done` is always called, with no
+    // items if the request failed.
+    using removed_items_callback =
+        std::function<void(std::span<const store::removed_item> removed, clock::time_point now)>;
+    void request_removed_items(const fleet::pull& from, removed_items_callback done);
+    // Pulls from one of the configured seeds, so that an instance can start during a store outage.
     void fetch_from_seed(clock::time_point now);
 
-    std::int64_t rejected() const { return rejected_; }
+    std::int64_t rejected_messages() const { return rejected_messages_; }
 
 private:
     void on_datagram(std::span<const std::uint8_t> datagram);
-    void on_digest_of(const std::string& peer, wire::digest content, clock::time_point now);
-    wire::peer_message message() const;
-    void serve(const net::http_request& request, const net::http_responder& respond);
-    const std::string& changes_since(std::int64_t after);
-    std::string removed_items() const;
-    void on_ended(const std::string& peer, const net::http_result& answer,
-                  const ended_callback& done);
-    void on_answer(const std::string& peer, const net::http_result& answer, clock::time_point sent);
+    void on_peer_digest(const std::string& peer, wire::digest content, clock::time_point now);
+    wire::peer_message new_message() const;
+    void handle_pull_request(const net::http_request& request, const net::http_responder& respond);
+    const std::string& encode_changes_since(std::int64_t after);
+    std::string encode_removed_items() const;
+    void on_removed_items(const std::string& peer, const net::http_result& response,
+                          const removed_items_callback& done);
+    void on_pull_response(const std::string& peer, const net::http_result& response,
+                          clock::time_point sent_at);
 
     std::string name_;
     std::vector<std::string> seeds_;
@@ -100,27 +114,29 @@
     const store::mirror& mirror_;
     fleet::peer_digests& digests_;
     event_log& log_;
-    pulled_callback pulled_;
-    std::function<void(clock::time_point now)> has_news_;
-    question_callback question_;
-    answer_callback answer_;
-    verdicts_callback verdicts_;
-    fleet::target_failure_detector* inquiries_ = nullptr;
-    net::udp_endpoint digests_socket_;
+    pull_callback pull_callback_;
+    std::function<void(clock::time_point now)> newer_revision_callback_;
+    probe_request_callback probe_request_callback_;
+    probe_result_callback probe_result_callback_;
+    dead_targets_callback dead_targets_callback_;
+    fleet::target_failure_detector* failure_detector_ = nullptr;
+    net::udp_endpoint digest_socket_;
     net::http_server pull_server_;
-    net::http_client http_;
+    net::http_client http_client_;
     wire::encoder encoder_;
-    digest_facts told_;  // with the last digest
+    digest_state last_sent_state_;
     clock::time_point next_digest_;
     clock::time_point next_pull_;
     std::size_t next_seed_ = 0;
-    std::string kept_answer_;  // to the question for changes after kept_after_, at kept_revision_
-    std::int64_t kept_after_ = -1;
-    std::int64_t kept_revision_ = -1;
-    clock::time_point kept_at_;
+    // The last encoded response to a request for the changes after `cached_after_`, valid while the
+    // mirror is at `cached_revision_`.
+    std::string cached_changes_;
+    std::int64_t cached_after_ = -1;
+    std::int64_t cached_revision_ = -1;
+    clock::time_point cached_at_;
     bool is_pulling_ = false;
     std::int64_t incarnation_ = 0;
-    std::int64_t rejected_ = 0;
+    std::int64_t rejected_messages_ = 0;
 };
 
 }  // namespace bramleytrack
--- a/services/bramleyd/record_log.cpp
+++ b/services/bramleyd/record_log.cpp
@@ -7,13 +7,13 @@
 
 using namespace discovery;
 
-void add(log_event& event, const catalogue& text) {
+void add_fields(log_event& event, const catalogue& configuration) {
     event.with("what", "configuration")
-        .with("version", text.version)
-        .with("routes", static_cast<std::int64_t>(text.routes.size()));
+        .with("version", configuration.version)
+        .with("routes", static_cast<std::int64_t>(configuration.routes.size()));
 }
 
-void add(log_event& event, const target_entry& target) {
+void add_fields(log_event& event, const target_entry& target) {
     event.with("what", "target")
         .with("target", target.id)
         .with("service", target.service)
@@ -24,38 +24,38 @@
         .with("born", target.born);
 }
 
-void add(log_event& event, const target_removed& target) {
+void add_fields(log_event& event, const target_removed& target) {
     event.with("what", "target_removed").with("target", target.id);
 }
 
-void add(log_event& event, const zone_out& zone) {
+void add_fields(log_event& event, const zone_out& zone) {
     event.with("what", zone.is_out ? "zone_out" : "zone_back").with("zone", zone.zone);
 }
 
-void add(log_event& event, const peer_entry& peer) {
+void add_fields(log_event& event, const peer_entry& peer) {
     event.with("what", "peer").with("peer", peer.name).with("address", peer.address);
 }
 
-void add(log_event& event, const peer_removed& peer) {
+void add_fields(log_event& event, const peer_removed& peer) {
     event.with("what", "peer_removed").with("peer", peer.name);
 }
 
-void add(log_event& event, const unreadable& value) {
+void add_fields(log_event& event, const unreadable& entry) {
     event.with("what", name_of(result_code::unreadable_record))
-        .with("key", value.key)
-        .with("reason", value.reason);
+        .with("key", entry.key)
+        .with("reason", entry.reason);
 }
 
-void add(log_event& event, const unrelated& /*value*/) {
+void add_fields(log_event& event, const unrelated& /*entry*/) {
     event.with("what", "unrelated");
 }
 
 }  // namespace
 
-log_event describe(const record& subject, std::int64_t revision, change outcome) {
+log_event describe_change(const record& subject, std::int64_t revision, change outcome) {
     log_event event{outcome == change::applied ? "learned" : "left_out"};
     event.with("revision", revision);
-    std::visit([&event](const auto& each) { add(event, each); }, subject);
+    std::visit([&event](const auto& each) { add_fields(event, each); }, subject);
     return event;
 }
 
--- a/services/bramleyd/steering_daemon.cpp
+++ b/services/bramleyd/steering_daemon.cpp
@@ -12,29 +12,31 @@
 namespace {
 
 constexpr double milliseconds_per_second = 1000.0;
-// Retries, budgets and log output follow this beat; each wake-up costs a small instance time.
+// Interval of retries, budget refills and log output. Shorter intervals cost small instances
+// processor time at each wake-up.
 constexpr clock::duration tick_interval{100};
-// Settings may change without a signal; reading a small file once a second costs nothing.
+// The settings file may change without a signal. Reading a small file once a second is cheap.
 constexpr clock::duration settings_interval{1'000};
-// A pause that long may have hidden changes, and the watch may be dead.
-constexpr clock::duration pause_to_read_anew{1'000};
-// Lapsed entries are back two seconds after the store; the same bound as
+// During a pause of this length, changes may have been missed and the watch may have stalled.
+constexpr clock::duration min_pause_for_reread{1'000};
+// After a store outage, targets write entries that have expired with their lease again within 2 s.
+// Until then a missing entry does not show that its target is gone. Same bound as
 // directory_limits::return_grace.
-constexpr clock::duration suspicion{2'000};
-// Targets of the planned load answer many times a second.
-constexpr clock::duration target_silence{1'000};
+constexpr clock::duration post_outage_grace{2'000};
+// Under the planned load, an instance receives responses from targets many times a second.
+constexpr clock::duration max_target_silence{1'000};
 constexpr int http_ok = 200;
 constexpr int http_not_found = 404;
 constexpr int http_unavailable = 503;
 
-std::uint64_t seed_of(const std::string& name) {
+std::uint64_t random_seed_of(const std::string& name) {
     return hash_of(hash_of(name), static_cast<std::uint64_t>(to_milliseconds(clock::now())));
 }
 
-sockaddr_in bound_address(const std::string& text) {
+sockaddr_in parse_bind_address(const std::string& text) {
     const auto parsed = net::parse_address(text);
     if (!parsed) {
-        throw std::runtime_error("not an address: " + text);
+        throw std::runtime_error("not an IPv4 address with a port: " + text);
     }
     return *parsed;
 }
@@ -42,17 +44,17 @@
 }  // namespace
 
 steering_daemon::steering_daemon(ev::loop_ref loop, settings::steering_settings settings,
-                                 platform_parts parts, settings_reader read_settings)
+                                 platform_interfaces platform, settings_reader read_settings)
     : settings_{std::move(settings)},
       read_settings_{std::move(read_settings)},
-      parts_{std::move(parts)},
+      platform_{std::move(platform)},
       loop_{loop},
-      mirror_{[&records = parts_.records](std::string_view key, std::size_t size) {
+      mirror_{[&records = platform_.records](std::string_view key, std::size_t size) {
           return records.is_relevant(key, size);
       }},
       directory_{{.flow_lifetime = settings_.flow_lifetime}},
       cold_{settings_.name},
-      digests_{directory_, settings_.name, settings_.zone, seed_of(settings_.name)},
+      digests_{directory_, settings_.name, settings_.zone, random_seed_of(settings_.name)},
       update_source_{directory_, digests_, settings_.name},
       startup_recovery_{directory_, settings_.name},
       steering_{{.zone = settings_.zone, .regions = settings_.zones},
@@ -61,28 +63,28 @@
                 digests_,
                 log_,
                 metrics_},
-      feed_{parts_.store, mirror_, seed_of(settings_.name)},
-      registration_{parts_.store, parts_.registration_key, parts_.registration_value,
-                    seed_of(settings_.name)},
-      exchange_{loop, settings_, mirror_, digests_, log_},
-      checks_{loop, settings_, directory_, steering_, exchange_, log_},
-      caller_port_{ntohs(bound_address(settings_.packet_address).sin_port)},
-      packets_{loop, bound_address(settings_.packet_address),
-               [this](std::span<const std::uint8_t> datagram) { on_datagram(datagram); }},
-      readiness_{loop, settings_.readiness_address,
-                 [this](const net::http_request&, const net::http_responder& respond) {
-                     respond({.status = is_ready_ ? http_ok : http_unavailable, .body = ""});
-                 }},
-      admin_{loop, settings_.metrics_address,
-             [this](const net::http_request& request, const net::http_responder& respond) {
-                 const bool is_metrics = request.path == "/metrics";
-                 respond({.status = is_metrics ? http_ok : http_not_found,
-                          .body = is_metrics ? render_metrics() : "",
-                          .content_type = "text/plain; version=0.0.4"});
-             }},
-      ticker_{loop},
-      terminate_{loop},
-      reload_{loop} {
+      feed_{platform_.store, mirror_, random_seed_of(settings_.name)},
+      registration_{platform_.store, platform_.registration_key, platform_.registration_value,
+                    random_seed_of(settings_.name)},
+      peer_exchange_{loop, settings_, mirror_, digests_, log_},
+      target_checks_{loop, settings_, directory_, steering_, peer_exchange_, log_},
+      caller_port_{ntohs(parse_bind_address(settings_.packet_address).sin_port)},
+      packet_socket_{loop, parse_bind_address(settings_.packet_address),
+                     [this](std::span<const std::uint8_t> datagram) { on_datagram(datagram); }},
+      readiness_server_{loop, settings_.readiness_address,
+                        [this](const net::http_request&, const net::http_responder& respond) {
+                            respond({.status = is_ready_ ? http_ok : http_unavailable, .body = ""});
+                        }},
+      metrics_server_{loop, settings_.metrics_address,
+                      [this](const net::http_request& request, const net::http_responder& respond) {
+                          const bool is_metrics = request.path == "/metrics";
+                          respond({.status = is_metrics ? http_ok : http_not_found,
+                                   .body = is_metrics ? render_metrics() : "",
+                                   .content_type = "text/plain; version=0.0.4"});
+                      }},
+      tick_timer_{loop},
+      terminate_signal_{loop},
+      reload_signal_{loop} {
     feed_.on_change([this](std::span<const store::event> events, clock::time_point now) {
         on_store_change(events, now);
     });
@@ -93,22 +95,21 @@
     registration_.on_state([this](bool is_held, result_code reason, clock::time_point now) {
         on_registration(is_held, reason, now);
     });
-    exchange_.on_digest([this](clock::time_point now) { consult_peers(now); });
-    exchange_.on_pulled([this](const peer_exchange::pulled& changes, clock::time_point now) {
-        on_pulled(changes, now);
+    peer_exchange_.on_newer_revision([this](clock::time_point now) { exchange_with_peers(now); });
+    peer_exchange_.on_pull_result([this](const peer_exchange::pull_result& result,
+                                         clock::time_point now) { on_pull_result(result, now); });
+    target_checks_.on_flows_ended([this] {
+        send_pending_resets();
+        packet_socket_.flush();
     });
-    checks_.on_flows_ended([this] {
-        send_waiting_resets();
-        packets_.flush();
-    });
-    ticker_.set<steering_daemon, &steering_daemon::on_tick>(this);
+    tick_timer_.set<steering_daemon, &steering_daemon::on_tick>(this);
     const double interval = static_cast<double>(tick_interval.count()) / milliseconds_per_second;
-    ticker_.start(interval, interval);
-    terminate_.set<steering_daemon, &steering_daemon::on_terminate>(this);
-    terminate_.start(SIGTERM);
-    reload_.set<steering_daemon, &steering_daemon::on_reload>(this);
-    reload_.start(SIGHUP);
-    pauses_.on_event(clock::now());
+    tick_timer_.start(interval, interval);
+    terminate_signal_.set<steering_daemon, &steering_daemon::on_terminate>(this);
+    terminate_signal_.start(SIGTERM);
+    reload_signal_.set<steering_daemon, &steering_daemon::on_reload>(this);
+    reload_signal_.start(SIGHUP);
+    pause_guard_.on_event(clock::now());
     settings_text_ = read_settings_();
     log_.write(log_event{"started"}
                    .with("zone", settings_.zone)
@@ -126,68 +127,69 @@
 
 void steering_daemon::on_tick(ev::timer& /*watcher*/, int /*events*/) {
     const auto now = clock::now();
-    pauses_.on_event(now);
-    const auto pause = pauses_.take_pause();
+    pause_guard_.on_event(now);
+    const auto pause = pause_guard_.take_pause();
     if (pause > clock::duration{0}) {
         log_.write(log_event{"paused"}.with("for_ms", pause.count()));
     }
-    if (pause >= pause_to_read_anew) {
+    if (pause >= min_pause_for_reread) {
         feed_.reread(now);
     }
-    consult_peers(now);
+    exchange_with_peers(now);
     feed_.tick(now);
     if (has_initial_state_ && !stop_.is_begun()) {
         registration_.tick(now);
-        ask_what_ended();
+        recover_removed_items();
     }
     steering_.expire(now);
-    checks_.expire(now);
+    target_checks_.expire(now);
     directory_.expire(now);
     check_settings(now);
     update_readiness(now);
-    end_when_quiet(now);
+    stop_when_drained(now);
     observability::flush_log();
 }
 
 void steering_daemon::on_datagram(std::span<const std::uint8_t> datagram) {
     const auto now = clock::now();
-    pauses_.on_event(now);
-    packet_at_ = now;
-    const auto decoded = parts_.packets.decode(datagram);
+    pause_guard_.on_event(now);
+    last_packet_at_ = now;
+    const auto decoded = platform_.packets.decode(datagram);
     const auto* segment = std::get_if<steering::segment>(&decoded);
     if (segment == nullptr) {
-        ++malformed_;
+        ++malformed_datagrams_;
         return;
     }
-    if (segment->is_opening && pauses_.is_catching_up(now)) {
+    if (segment->is_opening && pause_guard_.is_catching_up(now)) {
         return;
     }
     const auto decision = steering_.on_segment(*segment, directory_state(), now);
-    if (const auto* wanted = std::get_if<steering::forward>(&decision)) {
-        send_forward(datagram, *wanted->to);
-    } else if (const auto* refused = std::get_if<steering::refuse>(&decision)) {
-        send_reset(refused->answer);
+    if (const auto* forward = std::get_if<steering::forward>(&decision)) {
+        send_forward(datagram, *forward->to);
+    } else if (const auto* refusal = std::get_if<steering::refuse>(&decision)) {
+        send_reset(refusal->answer);
     }
-    send_waiting_resets();
-    checks_.check_suspects(now);
+    send_pending_resets();
+    target_checks_.check_suspects(now);
 }
 
-void steering_daemon::send_waiting_resets() {
+void steering_daemon::send_pending_resets() {
     for (const auto& each : steering_.take_resets()) {
         send_reset(each);
     }
 }
 
 void steering_daemon::send_forward(std::span<const std::uint8_t> datagram,
-                                   const discovery::target& to) {
-    const auto part = parts_.packets.encode_forward(datagram, to, packets_.next_buffer());
-    packets_.queue(to.entry.address.address, to.entry.address.port, part.size());
+                                   const discovery::target& target) {
+    const auto packet =
+        platform_.packets.encode_forward(datagram, target, packet_socket_.next_buffer());
+    packet_socket_.queue(target.entry.address.address, target.entry.address.port, packet.size());
 }
 
-void steering_daemon::send_reset(const steering::reset& wanted) {
-    const auto part = parts_.packets.encode_reset(wanted, packets_.next_buffer());
-    // Callers receive at the port at which instances do.
-    packets_.queue(wanted.flow.caller.address, caller_port_, part.size());
+void steering_daemon::send_reset(const steering::reset& reset) {
+    const auto packet = platform_.packets.encode_reset(reset, packet_socket_.next_buffer());
+    // Callers receive packets on the same port as instances.
+    packet_socket_.queue(reset.flow.caller.address, caller_port_, packet.size());
 }
 
 steering::directory_state steering_daemon::directory_state() const {
@@ -195,7 +197,7 @@
             .confirmed = confirmed_at_};
 }
 
-void steering_daemon::consult_peers(clock::time_point now) {
+void steering_daemon::exchange_with_peers(clock::time_point now) {
     digests_.expire(now);
     confirmed_at_ = update_source_.confirmed_at(feed_, mirror_.revision());
     cold_.set_isolated(update_source_.is_isolated(feed_, now));
@@ -203,71 +205,74 @@
     feed_.set_watch_enabled(should_watch);
     feed_.set_expected_watchers(update_source_.expected_watchers(now));
     if (!has_initial_state_) {
-        exchange_.fetch_from_seed(now);
-    } else if (const auto wanted = update_source_.next_pull(
+        peer_exchange_.fetch_from_seed(now);
+    } else if (const auto source = update_source_.next_pull(
                    mirror_.revision(), should_watch && !feed_.is_pausing(), now)) {
-        exchange_.fetch(*wanted, now);
+        peer_exchange_.fetch(*source, now);
     }
     const bool has_lost_store = feed_.failed_at() != clock::time_point{};
-    exchange_.tick({.known_revision = mirror_.revision(),
-                    .confirmed = confirmed_at_,
-                    .has_lost_store = has_lost_store,
-                    .is_stopping = stop_.is_begun()},
-                   steering_, now);
+    peer_exchange_.tick({.known_revision = mirror_.revision(),
+                         .confirmed_at = confirmed_at_,
+                         .has_lost_store = has_lost_store,
+                         .is_stopping = stop_.is_begun()},
+                        steering_, now);
 }
 
-void steering_daemon::ask_what_ended() {
+void steering_daemon::recover_removed_items() {
     const auto peer = startup_recovery_.next();
     if (!peer) {
         return;
     }
-    exchange_.ask_for_ended(
-        *peer, [this](std::span<const store::removed_item> told, clock::time_point now) {
+    peer_exchange_.request_removed_items(
+        *peer, [this](std::span<const store::removed_item> removed, clock::time_point now) {
             startup_recovery_.on_answer();
-            // Only targets have flows that go on; peers and zones that went are gone.
+            // Only targets can have open flows that outlive their entry. Removed peers and zones
+            // are not recovered.
             std::vector<store::removed_item> targets;
-            std::ranges::copy_if(told, std::back_inserter(targets), [this](const auto& each) {
+            std::ranges::copy_if(removed, std::back_inserter(targets), [this](const auto& each) {
                 return std::holds_alternative<discovery::target_entry>(
-                    parts_.records.read(each.last.key, each.last.value));
+                    platform_.records.read(each.last.key, each.last.value));
             });
-            take_changes(mirror_.apply_removed_items(targets), now);
+            apply_changes(mirror_.apply_removed_items(targets), now);
         });
 }
 
-void steering_daemon::on_pulled(const peer_exchange::pulled& changes, clock::time_point now) {
-    const auto changed = changes.is_whole ? mirror_.replace(changes.items, changes.revision)
-                                          : mirror_.apply(changes.events);
-    mirror_.advance(changes.revision);
-    update_source_.note_pulled(changes.confirmed);
-    on_store_change(changed, now);
+void steering_daemon::on_pull_result(const peer_exchange::pull_result& result,
+                                     clock::time_point now) {
+    const auto events = result.is_whole ? mirror_.replace(result.items, result.revision)
+                                        : mirror_.apply(result.events);
+    mirror_.advance(result.revision);
+    update_source_.note_pulled(result.confirmed_at);
+    on_store_change(events, now);
 }
 
 void steering_daemon::on_store_change(std::span<const store::event> events, clock::time_point now) {
     if (!has_initial_state_) {
         has_initial_state_ = true;
         update_source_.on_initial_state(now);
-        pauses_.on_event(now);  // packets that waited for long are no better than after a pause
-        packets_.start_receiving();
+        // Packets that waited in the socket for long are treated as after a pause of the process.
+        pause_guard_.on_event(now);
+        packet_socket_.start_receiving();
     }
     confirmed_at_ = update_source_.confirmed_at(feed_, mirror_.revision());
-    take_changes(events, now);
+    apply_changes(events, now);
     update_readiness(now);
-    consult_peers(now);  // peers learn of it without waiting for the next tick
+    exchange_with_peers(now);  // sends the new revision to peers before the next tick
 }
 
-void steering_daemon::take_changes(std::span<const store::event> events, clock::time_point now) {
+void steering_daemon::apply_changes(std::span<const store::event> events, clock::time_point now) {
     for (const auto& each : events) {
         if (const auto* written = std::get_if<store::item>(&each)) {
-            if (written->key == parts_.registration_key) {
+            if (written->key == platform_.registration_key) {
                 registration_.adopt(written->value, written->lease);
             }
-            apply(parts_.records.read(written->key, written->value), written->revision, now);
+            apply(platform_.records.read(written->key, written->value), written->revision, now);
         } else {
             const auto& removed = std::get<store::removal>(each);
-            if (removed.key == parts_.registration_key) {
+            if (removed.key == platform_.registration_key) {
                 registration_.on_entry_removed(now);
             }
-            apply(parts_.records.read_removal(removed.key), removed.revision, now);
+            apply(platform_.records.read_removal(removed.key), removed.revision, now);
         }
     }
 }
@@ -275,13 +280,13 @@
 void steering_daemon::apply(const discovery::record& subject, std::int64_t revision,
                             clock::time_point now) {
     const bool had_recent_store_outage =
-        update_source_.had_recent_store_outage(feed_, suspicion, now);
+        update_source_.had_recent_store_outage(feed_, post_outage_grace, now);
     const auto outcome = directory_.apply(subject, revision, had_recent_store_outage, now);
     if (const auto* entry = std::get_if<discovery::target_entry>(&subject)) {
-        checks_.on_entry(entry->id);
+        target_checks_.on_entry(entry->id);
     }
     if (outcome != discovery::change::none && log_.admits(log_kind::state_change, now)) {
-        log_.write(describe(subject, revision, outcome));
+        log_.write(describe_change(subject, revision, outcome));
     }
 }
 
@@ -304,11 +309,14 @@
 }
 
 void steering_daemon::update_readiness(clock::time_point now) {
-    // Failure: an instance that is cut off from everything drops what the fabric goes on sending to
-    // it. One that still hears answers of targets stays: it may be all that its zone has.
-    const bool hears_targets = now - steering_.flows().path().answered_at() <= target_silence;
-    const bool is_cut_off = !hears_targets && update_source_.is_isolated(feed_, now);
-    const bool is_ready = directory_state().is_complete && !stop_.is_begun() && !is_cut_off;
+    // An isolated instance would drop the packets that the routers go on sending to it, so it
+    // reports that it is not ready and is taken out of rotation. An instance that still receives
+    // responses from targets stays ready, because it may be the only one left in its zone.
+    const bool is_receiving_from_targets =
+        now - steering_.flows().path().answered_at() <= max_target_silence;
+    const bool is_fully_isolated =
+        !is_receiving_from_targets && update_source_.is_isolated(feed_, now);
+    const bool is_ready = directory_state().is_complete && !stop_.is_begun() && !is_fully_isolated;
     if (is_ready == is_ready_) {
         return;
     }
@@ -334,8 +342,8 @@
     update_readiness(now);
 }
 
-void steering_daemon::end_when_quiet(clock::time_point now) {
-    if (stop_.may_end(now, packet_at_, others_in_rotation(now), settings_.stop_grace)) {
+void steering_daemon::stop_when_drained(clock::time_point now) {
+    if (stop_.may_end(now, last_packet_at_, others_in_rotation(now), settings_.stop_grace)) {
         log_.write(log_event{"stopped"}.with("after_ms", stop_.elapsed(now).count()));
         observability::flush_log();
         loop_.break_loop(ev::ALL);
@@ -362,21 +370,22 @@
     }
     settings_text_ = std::move(text);
     const auto parsed = settings::parse_steering_settings(settings_text_);
-    const auto* offered = std::get_if<settings::steering_settings>(&parsed);
-    if (offered == nullptr) {
+    const auto* reloaded = std::get_if<settings::steering_settings>(&parsed);
+    if (reloaded == nullptr) {
         for (const auto& fault : std::get<std::vector<configuration::fault>>(parsed)) {
             log_.write(log_event{"settings_refused"}.with("fault", to_string(fault)));
         }
         return;
     }
-    // Addresses and names hold for the life of the process; what may change is taken over.
+    // Addresses and names are fixed for the lifetime of the process. Only the settings below are
+    // applied without a restart.
     auto changed = settings_;
-    changed.stop_grace = offered->stop_grace;
-    changed.flow_lifetime = offered->flow_lifetime;
-    changed.seeds = offered->seeds;  // of use at a start only
-    changed.ignored_keys = offered->ignored_keys;
-    directory_.set_flow_lifetime(offered->flow_lifetime);
-    const bool needs_restart = changed != *offered;
+    changed.stop_grace = reloaded->stop_grace;
+    changed.flow_lifetime = reloaded->flow_lifetime;
+    changed.seeds = reloaded->seeds;  // used at startup only
+    changed.ignored_keys = reloaded->ignored_keys;
+    directory_.set_flow_lifetime(reloaded->flow_lifetime);
+    const bool needs_restart = changed != *reloaded;
     settings_ = std::move(changed);
     log_.write(log_event{"settings_reloaded"}
                    .with("stop_grace_ms", settings_.stop_grace.count())
@@ -388,13 +397,13 @@
     const auto now = clock::now();
     std::vector<observability::service_gauges> services;
     for (const auto& [service, demand] : steering_.demands()) {
-        const auto use = steering_.use_of(service, now);
+        const auto usage = steering_.use_of(service, now);
         services.push_back({.service = service,
-                            .slots = use.slots(),
-                            .open_local = use.open_local(),
-                            .open_remote = use.open_remote(),
-                            .demand_local = use.wants().here,
-                            .demand_remote = use.wants().elsewhere});
+                            .slots = usage.slots(),
+                            .open_local = usage.open_local(),
+                            .open_remote = usage.open_remote(),
+                            .demand_local = usage.wants().here,
+                            .demand_remote = usage.wants().elsewhere});
     }
     return metrics_.render({.catalogue_version = directory_.in_force().version,
                             .known_revision = mirror_.revision(),
@@ -405,11 +414,11 @@
                             .flows = static_cast<std::int64_t>(steering_.flows().size()),
                             .store_calls = feed_.calls(),
                             .lost_log_lines = observability::lost_log_lines(),
-                            .malformed_datagrams = malformed_,
-                            .rejected_peer_messages = exchange_.rejected(),
-                            .dropped_sends = packets_.dropped_sends(),
-                            .target_probes = checks_.probes(),
-                            .targets_found_dead = checks_.found_dead(),
+                            .malformed_datagrams = malformed_datagrams_,
+                            .rejected_peer_messages = peer_exchange_.rejected_messages(),
+                            .dropped_sends = packet_socket_.dropped_sends(),
+                            .target_probes = target_checks_.probes_started(),
+                            .targets_found_dead = target_checks_.targets_found_dead(),
                             .is_store_reachable = feed_.is_reachable(),
                             .is_ready = is_ready_},
                            services);
--- a/services/bramleyd/target_checks.h
+++ b/services/bramleyd/target_checks.h
@@ -1,5 +1,7 @@
-// Checks of targets that leave packets unanswered: sockets, messages and log lines for what
-// fleet/target_failure_detector decides.
+// Probes of targets that leave packets unanswered.
+//
+// Performs the actions of fleet::target_failure_detector with sockets, messages to peers and log
+// lines. Which targets are probed, and which count as dead, is decided in the detector.
 #pragma once
 
 #include <ev++.h>
@@ -21,19 +23,21 @@
 class target_checks final : private fleet::failure_detector_actions {
 public:
     target_checks(ev::loop_ref loop, const settings::steering_settings& settings,
-                  const discovery::directory& known, steering::steering& core,
-                  peer_exchange& exchange, event_log& log);
+                  const discovery::directory& directory, steering::steering& core,
+                  peer_exchange& peers, event_log& log);
 
-    // Called when flows of a dead target were ended, so that the resets are sent.
-    void on_flows_ended(std::function<void()> callback) { flows_ended_ = std::move(callback); }
+    // Called after flows of a dead target were ended, when their resets are ready to be sent.
+    void on_flows_ended(std::function<void()> callback) {
+        flows_ended_callback_ = std::move(callback);
+    }
 
-    // Checks the targets that the core has become suspicious of.
+    // Starts checks of the targets that the core has newly marked as suspect.
     void check_suspects(clock::time_point now);
     void on_entry(std::string_view target_id);
-    void expire(clock::time_point now) { inquiries_.expire(now); }
+    void expire(clock::time_point now) { failure_detector_.expire(now); }
 
-    std::int64_t probes() const { return probes_begun_; }
-    std::int64_t found_dead() const { return found_dead_; }
+    std::int64_t probes_started() const { return probes_started_; }
+    std::int64_t targets_found_dead() const { return targets_found_dead_; }
 
 private:
     void probe(const discovery::target& target) override;
@@ -45,17 +49,17 @@
     void on_reported_dead(const discovery::target& target, clock::time_point until) override;
     void on_reached(const discovery::target& target) override;
 
-    void on_verdicts(std::string_view peer, std::span<const wire::dead_target_report> told,
-                     clock::time_point now);
+    void on_dead_targets(std::string_view peer, std::span<const wire::dead_target_report> reports,
+                         clock::time_point now);
 
     steering::steering& core_;
-    peer_exchange& exchange_;
+    peer_exchange& peer_exchange_;
     event_log& log_;
-    fleet::target_failure_detector inquiries_;
+    fleet::target_failure_detector failure_detector_;
     net::reach_probes probes_;
-    std::function<void()> flows_ended_;
-    std::int64_t probes_begun_ = 0;
-    std::int64_t found_dead_ = 0;
+    std::function<void()> flows_ended_callback_;
+    std::int64_t probes_started_ = 0;
+    std::int64_t targets_found_dead_ = 0;
 };
 
 }  // namespace bramleytrack
