--- a/tests/platform_adapter_test.cpp
+++ b/tests/platform_adapter_test.cpp
@@ -1,4 +1,5 @@
-// The adapter: packets and records of the users' platform, and what strangers make of them.
+// Platform adapter: decoding and encoding of packets and records, including malformed ones that
+// other clients of the store may write.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -13,11 +14,11 @@
 using platform_adapter::record_codec;
 using steering::segment;
 
-// The opening packet that the users' pages give as an example.
+// The example of an opening packet in the platform's documentation.
 constexpr std::array<std::uint8_t, 32> example_opening{
     0x9c, 0x41, 0x64, 0x40, 0x00, 0x07, 0x01, 0xbb, 0xc6, 0x12, 0x00, 0x01, 0x00, 0x00, 0x00, 0x00,
     0xa1, 0xb2, 0xc3, 0xd5, 0x11, 0x22, 0x33, 0x44, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x40, 0x00};
-// And the reset in answer to it.
+// The reset that answers it.
 constexpr std::array<std::uint8_t, 32> example_reset{
     0x01, 0xbb, 0xc6, 0x12, 0x00, 0x01, 0x9c, 0x41, 0x64, 0x40, 0x00, 0x07, 0x00, 0x00, 0x00, 0x00,
     0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x10, 0x00};
@@ -26,7 +27,7 @@
     return std::holds_alternative<result_code>(packet_codec{}.decode(datagram));
 }
 
-TEST(packet_codec, decodes_the_example) {
+TEST(packet_codec, decodes_the_documented_opening_packet) {
     const auto decoded = std::get<segment>(packet_codec{}.decode(example_opening));
     EXPECT_TRUE(decoded.is_opening);
     EXPECT_EQ(to_string(decoded.flow.caller), "100.64.0.7:40001");
@@ -35,7 +36,7 @@
     EXPECT_EQ(decoded.copy, 0U);
 }
 
-TEST(packet_codec, reads_the_number_of_a_copy_from_the_acknowledgement) {
+TEST(packet_codec, decodes_the_copy_number_from_the_acknowledgement_field) {
     auto copy = example_opening;
     copy[27] = 2;
     const auto decoded = std::get<segment>(packet_codec{}.decode(copy));
@@ -43,19 +44,19 @@
     EXPECT_EQ(decoded.acknowledged, 0U);
 }
 
-TEST(packet_codec, encodes_the_example_of_a_reset) {
+TEST(packet_codec, encodes_the_documented_reset) {
     const auto opening = std::get<segment>(packet_codec{}.decode(example_opening));
     std::array<std::uint8_t, 64> buffer{};
     const auto encoded = packet_codec{}.encode_reset({.flow = opening.flow}, buffer);
     EXPECT_TRUE(std::ranges::equal(encoded, example_reset));
 }
 
-TEST(packet_codec, puts_the_target_before_a_packet_and_its_token_into_it) {
-    discovery::target to;
-    to.entry.identity = 0x7f3a91c2;
-    to.token = 0x01020304;
+TEST(packet_codec, forwarded_packet_has_target_identity_prefix_and_token) {
+    discovery::target target;
+    target.entry.identity = 0x7f3a91c2;
+    target.token = 0x01020304;
     std::array<std::uint8_t, 64> buffer{};
-    const auto encoded = packet_codec{}.encode_forward(example_opening, to, buffer);
+    const auto encoded = packet_codec{}.encode_forward(example_opening, target, buffer);
     ASSERT_EQ(encoded.size(), 40U);
     const std::array<std::uint8_t, 8> identity{0, 0, 0, 0, 0x7f, 0x3a, 0x91, 0xc2};
     EXPECT_TRUE(std::ranges::equal(encoded.first(8), identity));
@@ -67,13 +68,13 @@
     EXPECT_TRUE(std::ranges::equal(encoded.subspan(8), expected));
 }
 
-TEST(packet_codec, refuses_what_is_short_long_or_inconsistent) {
+TEST(packet_codec, rejects_datagrams_that_are_too_short_too_long_or_inconsistent) {
     EXPECT_TRUE(is_malformed({}));
     EXPECT_TRUE(is_malformed(std::span{example_opening}.first(31)));
     std::vector<std::uint8_t> longer(example_opening.begin(), example_opening.end());
     longer.push_back(0);
     EXPECT_TRUE(is_malformed(longer));
-    longer[29] = 1;  // the length says so
+    longer[29] = 1;  // the length field now matches
     EXPECT_FALSE(is_malformed(longer));
     longer.resize(32 + 1'201);
     longer[28] = 1'201 >> 8;
@@ -86,24 +87,24 @@
     return std::get<record>(record_codec{}.read(key, value));
 }
 
-bool is_left_out(std::string_view value) {
+bool is_unreadable(std::string_view value) {
     return std::holds_alternative<discovery::unreadable>(
         record_codec{}.read("servers/i-1f", value));
 }
 
-constexpr std::string_view whole_entry =
+constexpr std::string_view valid_entry =
     R"({"service":"s","address":"10.1.0.9:8080","zone":"z","version":"v1","slots":2,)"
     R"("state":"ready","cold_remaining_ms":1500,"seq":4,"born":1700000000000})";
 
 std::string entry_with(std::string_view field, std::string_view value) {
-    std::string text{whole_entry};
-    const auto from = text.find("\"" + std::string{field} + "\":") + field.size() + 3;
-    const auto to = text.find_first_of(",}", from);
-    return text.replace(from, to - from, value);
+    std::string text{valid_entry};
+    const auto begin = text.find("\"" + std::string{field} + "\":") + field.size() + 3;
+    const auto end = text.find_first_of(",}", begin);
+    return text.replace(begin, end - begin, value);
 }
 
-TEST(record_codec, reads_a_target) {
-    const auto entry = read<discovery::target_entry>("servers/i-7f3a91c2", whole_entry);
+TEST(record_codec, decodes_a_target) {
+    const auto entry = read<discovery::target_entry>("servers/i-7f3a91c2", valid_entry);
     EXPECT_EQ(entry.id, "i-7f3a91c2");
     EXPECT_EQ(entry.identity, 0x7f3a91c2U);
     EXPECT_EQ(to_string(entry.address), "10.1.0.9:8080");
@@ -111,32 +112,32 @@
     EXPECT_EQ(entry.born, 1'700'000'000'000);
 }
 
-TEST(record_codec, leaves_out_targets_that_strangers_wrote) {
-    EXPECT_FALSE(is_left_out(whole_entry));
-    EXPECT_TRUE(is_left_out(""));
-    EXPECT_TRUE(is_left_out("\xff\xfe"));
-    EXPECT_TRUE(is_left_out("[]"));
-    EXPECT_TRUE(is_left_out("{}"));
-    EXPECT_TRUE(is_left_out(entry_with("state", "\"asleep\"")));
-    EXPECT_TRUE(is_left_out(entry_with("state", "1")));
-    EXPECT_TRUE(is_left_out(entry_with("slots", "-1")));
-    EXPECT_TRUE(is_left_out(entry_with("slots", "1e300")));
-    EXPECT_TRUE(is_left_out(entry_with("slots", "\"2\"")));
-    EXPECT_TRUE(is_left_out(entry_with("cold_remaining_ms", "null")));
-    EXPECT_TRUE(is_left_out(entry_with("address", "\"10.1.0.9\"")));
-    EXPECT_TRUE(is_left_out(entry_with("address", "\"10.1.0.9:0\"")));
-    EXPECT_TRUE(is_left_out(entry_with("address", "\"name:80\"")));
-    EXPECT_TRUE(is_left_out(entry_with("zone", "{}")));
-    EXPECT_TRUE(is_left_out("{\"a\":\"" + std::string(1'000'000, 'a') + "\"}"));
-    EXPECT_TRUE(is_left_out(std::string(10'000, '[')));
-}
-
-TEST(record_codec, names_the_target_whose_entry_cannot_be_read) {
+TEST(record_codec, rejects_malformed_targets) {
+    EXPECT_FALSE(is_unreadable(valid_entry));
+    EXPECT_TRUE(is_unreadable(""));
+    EXPECT_TRUE(is_unreadable("\xff\xfe"));
+    EXPECT_TRUE(is_unreadable("[]"));
+    EXPECT_TRUE(is_unreadable("{}"));
+    EXPECT_TRUE(is_unreadable(entry_with("state", "\"asleep\"")));
+    EXPECT_TRUE(is_unreadable(entry_with("state", "1")));
+    EXPECT_TRUE(is_unreadable(entry_with("slots", "-1")));
+    EXPECT_TRUE(is_unreadable(entry_with("slots", "1e300")));
+    EXPECT_TRUE(is_unreadable(entry_with("slots", "\"2\"")));
+    EXPECT_TRUE(is_unreadable(entry_with("cold_remaining_ms", "null")));
+    EXPECT_TRUE(is_unreadable(entry_with("address", "\"10.1.0.9\"")));
+    EXPECT_TRUE(is_unreadable(entry_with("address", "\"10.1.0.9:0\"")));
+    EXPECT_TRUE(is_unreadable(entry_with("address", "\"name:80\"")));
+    EXPECT_TRUE(is_unreadable(entry_with("zone", "{}")));
+    EXPECT_TRUE(is_unreadable("{\"a\":\"" + std::string(1'000'000, 'a') + "\"}"));
+    EXPECT_TRUE(is_unreadable(std::string(10'000, '[')));
+}
+
+TEST(record_codec, unreadable_entry_reports_its_target_id) {
     EXPECT_EQ(read<discovery::unreadable>("servers/i-1f", "[]").target_id, "i-1f");
     EXPECT_EQ(read<discovery::unreadable>("op/config", "[]").target_id, "");
 }
 
-TEST(record_codec, tells_by_key_and_size_what_may_be_of_use) {
+TEST(record_codec, filters_relevant_entries_by_key_and_size) {
     const record_codec codec;
     EXPECT_TRUE(codec.is_relevant("op/config", 1'000'000));
     EXPECT_TRUE(codec.is_relevant("servers/i-1f", 500));
@@ -145,54 +146,54 @@
     EXPECT_FALSE(codec.is_relevant("elsewhere/key", 2));
 }
 
-TEST(record_codec, an_id_that_is_no_number_names_no_target) {
+TEST(record_codec, rejects_target_ids_that_are_not_hexadecimal) {
     EXPECT_TRUE(std::holds_alternative<discovery::unreadable>(
-        record_codec{}.read("servers/i-xyz", whole_entry)));
+        record_codec{}.read("servers/i-xyz", valid_entry)));
     EXPECT_TRUE(std::holds_alternative<discovery::unreadable>(
-        record_codec{}.read("servers/", whole_entry)));
+        record_codec{}.read("servers/", valid_entry)));
 }
 
-TEST(record_codec, reads_a_configuration) {
-    const auto text = read<discovery::catalogue>(
+TEST(record_codec, decodes_a_configuration) {
+    const auto configuration = read<discovery::catalogue>(
         "op/config",
         R"({"version":7,"routes":[{"name":"a","host":"198.18.0.1","prefix":"/8443/","kind":"safe",)"
         R"("target_latency_ms":120,"priority":2,"traffic_split":[{"service":"s","weight":90},)"
         R"({"service":"t","weight":10}]},{"name":"b","host":"198.18.0.2","prefix":"/80/",)"
         R"("kind":"unsafe","priority":1,"service":"t"}],)"
         R"("services":[{"name":"s","cold_per_s":2.5},{"name":"t"}],"limits":{}})");
-    EXPECT_EQ(text.version, 7);
-    ASSERT_EQ(text.routes.size(), 2U);
-    EXPECT_EQ(to_string(text.routes[0].address), "198.18.0.1:8443");
-    EXPECT_EQ(text.routes[0].splits.size(), 2U);
-    EXPECT_EQ(text.routes[0].latency_objective, clock::duration{120});
-    EXPECT_TRUE(text.routes[0].is_idempotent);
-    EXPECT_FALSE(text.routes[1].is_idempotent);
-    EXPECT_DOUBLE_EQ(text.services[0].cold_flows_per_second, 2.5);
-}
-
-TEST(record_codec, refuses_a_configuration_whose_route_has_no_usable_priority) {
-    // Guards against a slip of an operator that puts a route before all others.
+    EXPECT_EQ(configuration.version, 7);
+    ASSERT_EQ(configuration.routes.size(), 2U);
+    EXPECT_EQ(to_string(configuration.routes[0].address), "198.18.0.1:8443");
+    EXPECT_EQ(configuration.routes[0].splits.size(), 2U);
+    EXPECT_EQ(configuration.routes[0].latency_objective, clock::duration{120});
+    EXPECT_TRUE(configuration.routes[0].is_idempotent);
+    EXPECT_FALSE(configuration.routes[1].is_idempotent);
+    EXPECT_DOUBLE_EQ(configuration.services[0].cold_flows_per_second, 2.5);
+}
+
+TEST(record_codec, rejects_a_configuration_with_an_invalid_route_priority) {
+    // Guards against an operator's mistake that would give a route priority over all others.
     const auto with_priority = [](const std::string& value) {
         return R"({"version":7,"routes":[{"name":"board","host":"198.18.0.1","prefix":"/80/",)"
                R"("service":"s","priority":)" +
                value + R"(}],"services":[{"name":"s"}]})";
     };
     for (const auto* value : {"-1", "1001", "\"first\"", "null", "[1]"}) {
-        const auto refused = read<discovery::unreadable>("op/config", with_priority(value));
-        EXPECT_EQ(refused.reason, std::string{"route board: priority is "} + value +
-                                      ", not a number from 0 to 1000");
+        const auto rejected = read<discovery::unreadable>("op/config", with_priority(value));
+        EXPECT_EQ(rejected.reason, std::string{"route board: priority is "} + value +
+                                       ", not a number from 0 to 1000");
     }
     EXPECT_EQ(read<discovery::catalogue>("op/config", with_priority("1000")).routes[0].priority,
               1'000);
 }
 
-TEST(record_codec, reads_zones_that_are_out_and_back) {
+TEST(record_codec, decodes_zone_evacuation_and_its_removal) {
     EXPECT_TRUE(read<discovery::zone_out>("op/evacuate/north", "{}").is_out);
     const auto back = record_codec{}.read_removal("op/evacuate/north");
     EXPECT_FALSE(std::get<discovery::zone_out>(back).is_out);
 }
 
-TEST(record_codec, reads_what_an_instance_writes_of_itself) {
+TEST(record_codec, decodes_the_registration_of_an_instance) {
     const discovery::peer_entry own{
         .name = "a", .zone = "z", .address = "10.0.0.1:7000", .pull_address = "10.0.0.1:7001"};
     const auto found = read<discovery::peer_entry>(platform_adapter::peer_key("a"),
