--- a/services/bramleyd/steering_daemon.cpp
+++ b/services/bramleyd/steering_daemon.cpp
@@ -250,7 +250,9 @@
     if (!has_initial_state_) {
         has_initial_state_ = true;
         update_source_.on_initial_state(now);
-        // Packets that waited in the socket for long are treated as after a pause of the process.
+        // Opening packets that waited in the socket for long are as harmful as those received after
+        // a pause of the process. They are dropped if the last event is further back than
+        // pause_limits::shortest_pause.
         pause_guard_.on_event(now);
         packet_socket_.start_receiving();
     }
