--- a/libraries/store/feed.cpp
+++ b/libraries/store/feed.cpp
@@ -5,22 +5,22 @@
 namespace bramleytrack::store {
 namespace {
 
-constexpr std::string_view everything;
+constexpr std::string_view all_keys;  // the empty prefix
 constexpr int max_doublings = 3;
-// More than two reads at a time would only add to the load of a store that is slow.
+// More than two concurrent reads would only add load to a slow store.
 constexpr std::size_t max_parallel_reads = 2;
 
 }  // namespace
 
-feed::feed(client& store, mirror& known, std::uint64_t seed, feed_limits limits)
+feed::feed(client& store, mirror& local_mirror, std::uint64_t seed, feed_limits limits)
     : store_{store},
-      known_{known},
+      mirror_{local_mirror},
       limits_{limits},
       random_{static_cast<std::minstd_rand::result_type>(seed)} {}
 
 void feed::tick(clock::time_point now) {
-    if (phase_ == phase::idle && now >= next_start_) {
-        if (is_complete_ && !is_wanted_) {
+    if (phase_ == phase::idle && now >= next_call_at_) {
+        if (is_complete_ && !is_watch_enabled_) {
             return;
         }
         if (must_read_) {
@@ -31,7 +31,7 @@
         return;
     }
     const bool is_late = phase_ == phase::reading && reads_.size() < max_parallel_reads &&
-                         now - read_started_ >= limits_.hedge_after;
+                         now - read_started_ >= limits_.hedge_delay;
     if (is_late) {
         start_read(now);
     }
@@ -52,74 +52,76 @@
     const auto attempt = ++attempts_;
     reads_.push_back(
         {.attempt = attempt, .freshness = freshness(), .items = {}, .revision = std::nullopt});
-    ask_page({}, attempt, now);
+    request_page({}, attempt, now);
 }
 
-void feed::ask_page(const std::string& after_key, std::int64_t attempt, clock::time_point sent) {
+void feed::request_page(const std::string& after_key, std::int64_t attempt,
+                        clock::time_point sent_at) {
     ++calls_;
-    store_.range(everything, after_key, freshness(), limits_.read_limit,
-                 [this, attempt, sent](const outcome<page>& answer, clock::time_point now) {
-                     on_page(attempt, sent, answer, now);
+    store_.range(all_keys, after_key, freshness(), limits_.read_timeout,
+                 [this, attempt, sent_at](const outcome<page>& answer, clock::time_point now) {
+                     on_page(attempt, sent_at, answer, now);
                  });
 }
 
-void feed::on_page(std::int64_t attempt, clock::time_point sent, const outcome<page>& answer,
+void feed::on_page(std::int64_t attempt, clock::time_point sent_at, const outcome<page>& answer,
                    clock::time_point now) {
     const auto current = std::ranges::find(reads_, attempt, &reading::attempt);
     if (current == reads_.end()) {
         return;
     }
-    const auto* part = std::get_if<page>(&answer);
-    if (part == nullptr) {
+    const auto* result = std::get_if<page>(&answer);
+    if (result == nullptr) {
         reads_.erase(current);
         if (reads_.empty()) {
             fail(std::get<result_code>(answer), now);
         }
         return;
     }
-    current->items.insert(current->items.end(), part->items.begin(), part->items.end());
-    // Pages that may be seconds old needn't come in the order of their revisions.
-    current->revision = std::min(current->revision.value_or(part->revision), part->revision);
-    if (part->has_more && !part->items.empty()) {
-        ask_page(part->items.back().key, attempt, now);
+    current->items.insert(current->items.end(), result->items.begin(), result->items.end());
+    // Pages that may be seconds old can arrive with decreasing revisions.
+    current->revision = std::min(current->revision.value_or(result->revision), result->revision);
+    if (result->has_more && !result->items.empty()) {
+        request_page(result->items.back().key, attempt, now);
         return;
     }
-    const auto whole = std::move(*current);
+    const auto finished_read = std::move(*current);
     reads_.clear();
     must_read_ = false;
     phase_ = phase::idle;
     succeed(now);
-    if (whole.freshness == read_freshness::newest) {
-        confirmed_at_ = std::max(confirmed_at_, sent);
+    if (finished_read.freshness == read_freshness::newest) {
+        confirmed_at_ = std::max(confirmed_at_, sent_at);
     }
-    const auto changes = known_.replace(whole.items, *whole.revision);
+    const auto changes = mirror_.replace(finished_read.items, *finished_read.revision);
     is_complete_ = true;
     publish(changes, now);
-    next_start_ = now;
+    next_call_at_ = now;
 }
 
-void feed::start_watch(clock::time_point sent) {
+void feed::start_watch(clock::time_point sent_at) {
     phase_ = phase::watching;
     const auto attempt = ++attempts_;
     watch_attempt_ = attempt;
     ++calls_;
-    store_.watch(everything, known_.revision(), limits_.watch_wait,
-                 limits_.watch_wait + limits_.watch_slack,
-                 [this, attempt, sent](const outcome<watch_result>& answer, clock::time_point now) {
-                     on_news(attempt, sent, answer, now);
-                 });
+    store_.watch(
+        all_keys, mirror_.revision(), limits_.watch_wait,
+        limits_.watch_wait + limits_.watch_response_margin,
+        [this, attempt, sent_at](const outcome<watch_result>& answer, clock::time_point now) {
+            on_watch_result(attempt, sent_at, answer, now);
+        });
 }
 
-void feed::on_news(std::int64_t attempt, clock::time_point sent,
-                   const outcome<watch_result>& answer, clock::time_point now) {
+void feed::on_watch_result(std::int64_t attempt, clock::time_point sent_at,
+                           const outcome<watch_result>& answer, clock::time_point now) {
     if (attempt != watch_attempt_) {
         return;
     }
     phase_ = phase::idle;
     watch_attempt_ = 0;
-    const auto* part = std::get_if<watch_result>(&answer);
-    if (part == nullptr) {
-        // Whatever the reason, changes may have been missed.
+    const auto* result = std::get_if<watch_result>(&answer);
+    if (result == nullptr) {
+        // Changes may have been missed, whatever the reason.
         must_read_ = true;
         if (std::get<result_code>(answer) == result_code::history_gone) {
             start_read(now);
@@ -128,19 +130,19 @@
         }
         return;
     }
-    // An answer without events was given when the wait was over, or later.
-    const bool has_waited = part->events.empty() && now - sent >= limits_.watch_wait;
+    // A response without events was sent at the end of the wait, or later.
+    const bool is_wait_over = result->events.empty() && now - sent_at >= limits_.watch_wait;
     succeed(now);
-    confirmed_at_ = std::max(confirmed_at_, has_waited ? sent + limits_.watch_wait : sent);
-    const auto changes = known_.apply(part->events);
-    known_.advance(part->revision);
+    confirmed_at_ = std::max(confirmed_at_, is_wait_over ? sent_at + limits_.watch_wait : sent_at);
+    const auto changes = mirror_.apply(result->events);
+    mirror_.advance(result->revision);
     publish(changes, now);
-    const bool is_early = part->events.empty() && (now - sent) * 2 < limits_.watch_wait;
-    const auto pause_if_empty = is_early ? limits_.after_early_answer : clock::duration{0};
+    const bool is_early = result->events.empty() && (now - sent_at) * 2 < limits_.watch_wait;
+    const auto pause_if_empty = is_early ? limits_.early_response_pause : clock::duration{0};
     const auto pause_after_events =
         std::min(limits_.max_pause_after_events,
-                 limits_.pause_after_events * static_cast<std::int64_t>(watchers_));
-    next_start_ = now + (part->events.empty() ? pause_if_empty : pause_after_events);
+                 limits_.pause_after_events * static_cast<std::int64_t>(expected_watchers_));
+    next_call_at_ = now + (result->events.empty() ? pause_if_empty : pause_after_events);
 }
 
 void feed::succeed(clock::time_point now) {
@@ -149,11 +151,11 @@
     }
     if (!is_reachable_) {
         is_reachable_ = true;
-        if (state_changed_) {
-            state_changed_(true, result_code::ok, failures_, now);
+        if (state_callback_) {
+            state_callback_(true, result_code::ok, consecutive_failures_, now);
         }
     }
-    failures_ = 0;
+    consecutive_failures_ = 0;
     failed_at_ = clock::time_point{};
 }
 
@@ -161,22 +163,23 @@
     phase_ = phase::idle;
     failed_at_ = now;
     unreachable_at_ = now;
-    const auto doublings = std::min(failures_, max_doublings);
-    const auto longest = std::min(limits_.longest_retry, limits_.first_retry * (1 << doublings));
-    std::uniform_int_distribution<std::int64_t> pick{longest.count() / 2, longest.count()};
-    next_start_ = now + clock::duration{pick(random_)};
-    ++failures_;
+    const auto doublings = std::min(consecutive_failures_, max_doublings);
+    const auto max_delay =
+        std::min(limits_.max_retry_delay, limits_.initial_retry_delay * (1 << doublings));
+    std::uniform_int_distribution<std::int64_t> jitter{max_delay.count() / 2, max_delay.count()};
+    next_call_at_ = now + clock::duration{jitter(random_)};
+    ++consecutive_failures_;
     if (is_reachable_) {
         is_reachable_ = false;
-        if (state_changed_) {
-            state_changed_(false, reason, failures_, now);
+        if (state_callback_) {
+            state_callback_(false, reason, consecutive_failures_, now);
         }
     }
 }
 
 void feed::publish(std::span<const event> events, clock::time_point now) {
-    if (changed_) {
-        changed_(events, now);
+    if (change_callback_) {
+        change_callback_(events, now);
     }
 }
 
--- a/libraries/store/feed.h
+++ b/libraries/store/feed.h
@@ -1,12 +1,13 @@
-// Keeps a mirror of the store up to date: one read of everything, then one watch after the other.
+// Keeps a mirror of the store up to date: one full read, followed by consecutive watches.
 //
-// Load that it answers: all instances start at once after a loss of power, and each reads
-// everything. The first read may be seconds old, at a tenth of the price; what changed since comes
-// from a peer, or from a watch that begins at the read's revision.
+// After a power failure all instances start at once, and each reads all keys. The first read
+// therefore accepts data that is seconds old, at a tenth of the price; later changes come from a
+// peer, or from a watch that starts at the revision of the read.
 //
-// Failures that it answers: the store is away, slow, or refuses this instance alone; an answer is
-// lost and the connection stays open in silence; the history is gone. Each call has a limit of its
-// own, each failure is followed by a retry within a second, and after any doubt all is read anew.
+// The store may be unreachable or slow, or may reject this instance alone; a response may be lost
+// while the connection stays open; the history may be lost. Each call has its own
+// timeout, each failure is retried within a second, and all keys are read again whenever changes
+// may have been missed.
 #pragma once
 
 #include <algorithm>
@@ -22,63 +23,69 @@
 namespace bramleytrack::store {
 
 struct feed_limits {
-    // A read takes 4 ms as a rule and 60 times as long when the store is slow.
-    clock::duration read_limit{1'000};
-    // A second read starts on another connection when the first is this late: a read that was lost
-    // would otherwise cost the whole limit at the start, when nothing can be routed without it.
-    clock::duration hedge_after{350};
-    // A watch may be deaf: its answer was lost, or the store forgot it. The bound for a change is
-    // 3 s, so a watch with its slack is shorter; its calls are few beside those for changes.
+    // A read normally takes 4 ms, and 60 times as long when the store is slow.
+    clock::duration read_timeout{1'000};
+    // After this delay a second read starts on another connection. Without it, a lost read would
+    // cost the whole timeout at startup, when nothing can be routed before the first read.
+    clock::duration hedge_delay{350};
+    // A watch may be stalled: its response was lost, or the store dropped it. A change must arrive
+    // within 3 s, so a watch including its response margin is shorter than that. Its calls are few
+    // compared with those caused by changes.
     clock::duration watch_wait{1'900};
-    clock::duration watch_slack{400};
-    // Changes come in groups (a release, a start of the fleet); each answer of a watch is a priced
-    // call.
+    clock::duration watch_response_margin{400};
+    // Changes come in bursts (a release, a start of the fleet), and each response to a watch is
+    // charged as a call.
     clock::duration pause_after_events{200};
-    // However many instances watch: half of the time that a change has to be in force everywhere.
+    // Applies whatever the number of watchers: half of the time within which a change has to be
+    // applied on all instances.
     clock::duration max_pause_after_events{1'000};
-    // Failure: a store that can't watch answers each one at once, without news, and the next would
-    // follow at once. Two reads a second keep the word on everything young enough.
-    clock::duration after_early_answer{500};
-    // The first retry is at once for a person; the last keeps 610 instances at 800 calls a second.
-    clock::duration first_retry{100};
-    clock::duration longest_retry{800};
+    // A store that doesn't support watches responds to each at once without events, and the next
+    // watch would follow immediately. Two calls a second keep the confirmation age low enough.
+    clock::duration early_response_pause{500};
+    // A person doesn't notice the delay of the first retry; the last limits 610 instances to 800
+    // calls a second.
+    clock::duration initial_retry_delay{100};
+    clock::duration max_retry_delay{800};
 };
 
 class feed {
 public:
-    // What changed, in order; empty when an answer merely confirmed what is known.
+    // The changes in order; empty when a response only confirmed the state of the mirror.
     using change_callback = std::function<void(std::span<const event>, clock::time_point now)>;
-    // The store was lost (is_reachable false) or regained.
+    // The store became unreachable or reachable again.
     using state_callback = std::function<void(bool is_reachable, result_code reason, int attempts,
                                               clock::time_point now)>;
 
-    feed(client& store, mirror& known, std::uint64_t seed, feed_limits limits = {});
+    feed(client& store, mirror& local_mirror, std::uint64_t seed, feed_limits limits = {});
 
-    void on_change(change_callback callback) { changed_ = std::move(callback); }
-    void on_state(state_callback callback) { state_changed_ = std::move(callback); }
+    void on_change(change_callback callback) { change_callback_ = std::move(callback); }
+    void on_state(state_callback callback) { state_callback_ = std::move(callback); }
 
-    // Starts calls that are due; call it every few tens of milliseconds.
+    // Starts calls that are due; to be called every few tens of milliseconds.
     void tick(clock::time_point now);
-    // Whether new watches begin: an instance that hears from a peer what the store holds needs
+    // Whether new watches start. An instance that receives the store's changes from a peer needs
     // none.
-    void set_watch_enabled(bool is_wanted) { is_wanted_ = is_wanted; }
-    // How many instances are likely to watch. Each pauses for so much longer after news: together
-    // they cost what one does, and one of them hears of a change as soon as that one would.
-    void set_expected_watchers(std::size_t number) { watchers_ = std::max<std::size_t>(number, 1); }
-    // Whether it waits until it watches again, and had better ask a peer for news meanwhile.
+    void set_watch_enabled(bool is_enabled) { is_watch_enabled_ = is_enabled; }
+    // The number of instances that are expected to watch. The pause after events is multiplied by
+    // it: together they cost as many calls as one watcher, and one of them receives a change as
+    // soon as a single watcher would.
+    void set_expected_watchers(std::size_t number) {
+        expected_watchers_ = std::max<std::size_t>(number, 1);
+    }
+    // Whether no watch is active for now, so that changes should be pulled from a peer instead.
     bool is_pausing() const { return is_complete_ && phase_ == phase::idle; }
-    // Something suggests that the watch is deaf: reads everything now.
+    // Reads all keys now; called when the watch seems to be stalled.
     void reread(clock::time_point now);
 
-    // Whether everything was read at least once.
+    // Whether all keys were read at least once.
     bool is_complete() const { return is_complete_; }
     bool is_reachable() const { return is_reachable_; }
-    // What is known was all there is then: when a read of the newest state was sent, or when a
-    // watch had waited in vain.
+    // The time at which the mirror was last confirmed to be current: when a read of the newest
+    // state or a watch was sent, or when the wait of a watch ended without events.
     clock::time_point confirmed_at() const { return confirmed_at_; }
-    // When the last call failed; the epoch when none did since an answer.
+    // When the last call failed; the epoch when none has failed since the last response.
     clock::time_point failed_at() const { return failed_at_; }
-    // When the store was last known to be unreachable.
+    // When the store was last found unreachable.
     clock::time_point unreachable_at() const { return unreachable_at_; }
     std::int64_t calls() const { return calls_; }
 
@@ -86,15 +93,16 @@
     enum class phase { idle, reading, watching };
 
     void start_read(clock::time_point now);
-    void ask_page(const std::string& after_key, std::int64_t attempt, clock::time_point sent);
+    void request_page(const std::string& after_key, std::int64_t attempt,
+                      clock::time_point sent_at);
     read_freshness freshness() const {
         return is_complete_ ? read_freshness::newest : read_freshness::seconds_old;
     }
-    void on_page(std::int64_t attempt, clock::time_point sent, const outcome<page>& answer,
-                 clock::time_point now);
-    void start_watch(clock::time_point sent);
-    void on_news(std::int64_t attempt, clock::time_point sent, const outcome<watch_result>& answer,
+    void on_page(std::int64_t attempt, clock::time_point sent_at, const outcome<page>& answer,
                  clock::time_point now);
+    void start_watch(clock::time_point sent_at);
+    void on_watch_result(std::int64_t attempt, clock::time_point sent_at,
+                         const outcome<watch_result>& answer, clock::time_point now);
     void succeed(clock::time_point now);
     void fail(result_code reason, clock::time_point now);
     void publish(std::span<const event> events, clock::time_point now);
@@ -103,29 +111,30 @@
         std::int64_t attempt = 0;
         read_freshness freshness = read_freshness::newest;
         std::vector<item> items;
-        std::optional<std::int64_t> revision;  // of the oldest page
+        std::optional<std::int64_t> revision;  // lowest revision of the pages
     };
 
     client& store_;
-    mirror& known_;
+    mirror& mirror_;
     feed_limits limits_;
     std::minstd_rand random_;
-    change_callback changed_;
-    state_callback state_changed_;
+    change_callback change_callback_;
+    state_callback state_callback_;
     phase phase_ = phase::idle;
-    // Answers of attempts that are not listed here (reads) or current (watch) come too late.
+    // Responses to reads that are not in this list, or to a watch that isn't `watch_attempt_`, are
+    // ignored as late.
     std::vector<reading> reads_;
     std::int64_t watch_attempt_ = 0;
     std::int64_t attempts_ = 0;
     std::int64_t calls_ = 0;
-    int failures_ = 0;  // since the last answer
-    std::size_t watchers_ = 1;
-    clock::time_point next_start_;
+    int consecutive_failures_ = 0;
+    std::size_t expected_watchers_ = 1;
+    clock::time_point next_call_at_;
     clock::time_point read_started_;
     clock::time_point confirmed_at_;
     clock::time_point failed_at_;
     clock::time_point unreachable_at_;
-    bool is_wanted_ = true;
+    bool is_watch_enabled_ = true;
     bool must_read_ = true;
     bool is_complete_ = false;
     bool is_reachable_ = false;
--- a/libraries/store/key_watch.cpp
+++ b/libraries/store/key_watch.cpp
@@ -13,10 +13,10 @@
     : store_{store}, key_{std::move(key)}, limits_{limits}, random_{seed} {}
 
 void key_watch::tick(clock::time_point now) {
-    if (is_waiting_ || now < next_) {
+    if (is_call_pending_ || now < next_call_at_) {
         return;
     }
-    is_waiting_ = true;
+    is_call_pending_ = true;
     if (must_read_) {
         read();
     } else {
@@ -26,62 +26,64 @@
 
 void key_watch::read() {
     must_read_ = false;
-    store_.get(key_, limits_.read_limit,
+    store_.get(key_, limits_.read_timeout,
                [this](const outcome<lookup_result>& answer, clock::time_point now) {
-                   is_waiting_ = false;
-                   const auto* part = std::get_if<lookup_result>(&answer);
-                   if (part == nullptr) {
+                   is_call_pending_ = false;
+                   const auto* result = std::get_if<lookup_result>(&answer);
+                   if (result == nullptr) {
                        must_read_ = true;
                        fail(std::get<result_code>(answer), now);
                        return;
                    }
-                   failures_ = 0;
-                   next_ = now;
-                   seen_ = std::max(seen_, part->revision);
-                   if (part->content) {
-                       tell(*part->content, now);
+                   consecutive_failures_ = 0;
+                   next_call_at_ = now;
+                   last_seen_revision_ = std::max(last_seen_revision_, result->revision);
+                   if (result->content) {
+                       report(*result->content, now);
                    }
                });
 }
 
-void key_watch::watch(clock::time_point sent) {
-    store_.watch(key_, seen_, limits_.wait, limits_.wait + limits_.slack,
-                 [this, sent](const outcome<watch_result>& answer, clock::time_point now) {
-                     is_waiting_ = false;
-                     const auto* part = std::get_if<watch_result>(&answer);
-                     if (part == nullptr) {
+void key_watch::watch(clock::time_point sent_at) {
+    store_.watch(key_, last_seen_revision_, limits_.wait, limits_.wait + limits_.response_margin,
+                 [this, sent_at](const outcome<watch_result>& answer, clock::time_point now) {
+                     is_call_pending_ = false;
+                     const auto* result = std::get_if<watch_result>(&answer);
+                     if (result == nullptr) {
                          fail(std::get<result_code>(answer), now);
                          return;
                      }
-                     failures_ = 0;
-                     seen_ = std::max(seen_, part->revision);
-                     const bool is_early = part->events.empty() && (now - sent) * 2 < limits_.wait;
-                     next_ = now +
-                             (is_early ? jittered(limits_.after_early_answer) : limits_.after_news);
-                     for (const auto& each : part->events) {
+                     consecutive_failures_ = 0;
+                     last_seen_revision_ = std::max(last_seen_revision_, result->revision);
+                     const bool is_early =
+                         result->events.empty() && (now - sent_at) * 2 < limits_.wait;
+                     next_call_at_ = now + (is_early ? jittered(limits_.early_response_pause)
+                                                     : limits_.pause_after_change);
+                     for (const auto& each : result->events) {
                          const auto* written = std::get_if<item>(&each);
                          if (written != nullptr && written->key == key_) {
-                             tell(*written, now);
+                             report(*written, now);
                          }
                      }
                  });
 }
 
-void key_watch::tell(const item& value, clock::time_point now) {
-    if (found_) {
-        found_(value, now);
+void key_watch::report(const item& value, clock::time_point now) {
+    if (value_callback_) {
+        value_callback_(value, now);
     }
 }
 
 void key_watch::fail(result_code reason, clock::time_point now) {
     must_read_ = must_read_ || reason == result_code::history_gone;
-    const auto doublings = std::min(failures_++, max_doublings);
-    next_ = now + jittered(std::min(limits_.longest_retry, limits_.first_retry * (1 << doublings)));
+    const auto doublings = std::min(consecutive_failures_++, max_doublings);
+    next_call_at_ = now + jittered(std::min(limits_.max_retry_delay,
+                                            limits_.initial_retry_delay * (1 << doublings)));
 }
 
-clock::duration key_watch::jittered(clock::duration longest) {
-    std::uniform_int_distribution<std::int64_t> pick{longest.count() / 2, longest.count()};
-    return clock::duration{pick(random_)};
+clock::duration key_watch::jittered(clock::duration max_delay) {
+    std::uniform_int_distribution<std::int64_t> jitter{max_delay.count() / 2, max_delay.count()};
+    return clock::duration{jitter(random_)};
 }
 
 }  // namespace bramleytrack::store
--- a/libraries/store/mirror.h
+++ b/libraries/store/mirror.h
@@ -1,7 +1,7 @@
-// What the store holds as far as this instance knows: the newest revision of each key.
+// A local copy of the store: the newest received revision of each key.
 //
 // Items arrive from range reads, watches and peers, in any order and more than once. Only a newer
-// revision of a key changes anything, so nothing that was once known ever goes back.
+// revision of a key is applied, so a key never returns to an older state.
 #pragma once
 
 #include <deque>
@@ -17,74 +17,75 @@
 
 namespace bramleytrack::store {
 
-// A key that is gone, and what stood there last.
+// A removed key with its last item.
 struct removed_item {
     item last;
-    std::int64_t removed_at = 0;  // revision
+    std::int64_t removal_revision = 0;
 
     bool operator==(const removed_item&) const = default;
 };
 
 class mirror {
 public:
-    // Whether a value of this size under this key can be of use.
+    // Whether a value of this size under this key can be relevant.
     using value_filter = std::function<bool(std::string_view key, std::size_t size)>;
 
-    // Failure: other writers share the store, and their values, up to a megabyte each, would fill
-    // the memory here and be passed on to every peer. Of what `is_relevant` leaves out only the key
-    // and its revision are kept.
-    explicit mirror(value_filter is_relevant = nullptr) : is_of_use_{std::move(is_relevant)} {}
+    // Other writers share the store, and their values of up to a megabyte each would fill the
+    // memory of this instance and be sent to every peer. For items that `is_relevant` rejects, only
+    // the key and its revision are kept.
+    explicit mirror(value_filter is_relevant = nullptr) : is_relevant_{std::move(is_relevant)} {}
 
-    // Applies what is new and returns just that.
+    // Applies the events that are newer than the stored state, and returns those.
     std::vector<event> apply(std::span<const event> events);
 
-    // Applies a whole range read that began at `revision`: keys that it doesn't hold were removed,
-    // unless they changed later than the read began.
+    // Applies a complete range read that began at `revision`: keys that are missing in it count as
+    // removed, unless they changed after that revision.
     std::vector<event> replace(std::span<const item> items, std::int64_t revision);
 
-    // All events above this revision have been applied, as far as the sources said.
+    // All events up to this revision have been applied, according to the sources.
     std::int64_t revision() const { return revision_; }
     void advance(std::int64_t revision);
 
     // All items, for a peer that lacks them.
     std::vector<item> items() const;
-    // The newest word on each key that changed after `revision`, in the order of their revisions;
-    // nothing when some of it may have been dropped.
+    // The newest event of each key that changed after `revision`, ordered by revision; nullopt when
+    // some of these events may have been dropped.
     std::optional<std::vector<event>> changes_since(std::int64_t revision) const;
-    // The newest keys that went, for an instance that has just started: entries are also taken away
-    // from targets that live, and their flows go on.
+    // The keys that were removed most recently, for an instance that has just started: entries of
+    // live targets may be removed too, and their open flows must still be routed.
     std::vector<removed_item> removed_items() const;
-    // Takes over what isn't known here, and returns it as events: first what stood there, then its
-    // removal.
-    std::vector<event> apply_removed_items(std::span<const removed_item> told);
+    // Applies removed items whose keys the mirror doesn't hold. Returns two events for each: the
+    // last item, then its removal.
+    std::vector<event> apply_removed_items(std::span<const removed_item> received);
     std::size_t size() const { return entries_.size(); }
 
 private:
     struct entry {
-        std::string value;  // of a key that is gone, what stood there last, if that is kept
+        std::string value;  // of a removed key: its last value, if that is kept
         std::int64_t revision = 0;
-        std::int64_t value_revision = 0;  // when the value was written
+        std::int64_t value_revision = 0;  // at which the value was written
         bool is_removed = false;
     };
 
-    // Removed keys stay as markers, so that an older item can't bring them back; the oldest are
-    // dropped beyond this number. Hosts come and go a few thousand times a day at the planned size.
-    static constexpr std::size_t max_markers = 10'000;
-    // What stood under keys that are gone: a release of a service, some hundred bytes each.
-    static constexpr std::size_t max_ended_values = 2'000;
+    // Removed keys stay as tombstones, so that an older item can't restore them; beyond this number
+    // the older half is dropped. At the planned size a few thousand hosts a day are added and
+    // removed.
+    static constexpr std::size_t max_tombstones = 10'000;
+    // Last values of removed keys: enough for a release of a service, some hundred bytes each.
+    static constexpr std::size_t max_removed_values = 2'000;
 
-    bool take(const event& offered);
-    void take(entry& known, const item& written);
-    void take(entry& known, const removal& removed);
-    void drop_old_markers();
+    bool apply_event(const event& update);
+    void set_item(entry& stored, const item& written);
+    void set_removed(entry& stored, const removal& removed);
+    void drop_old_tombstones();
 
-    value_filter is_of_use_;
+    value_filter is_relevant_;
     std::map<std::string, entry, std::less<>> entries_;
-    std::size_t markers_ = 0;
-    std::deque<std::string> ended_;  // keys whose last value is kept, oldest first
-    // Removals up to this revision may be missing: they came before the first read, or their
-    // markers were dropped.
-    std::int64_t floor_ = 0;
+    std::size_t tombstones_ = 0;
+    std::deque<std::string> removed_values_;  // keys whose last value is kept, oldest first
+    // Removals up to this revision may be missing: they happened before the first read, or their
+    // tombstones were dropped.
+    std::int64_t history_floor_ = 0;
     std::int64_t revision_ = 0;
 };
 
--- a/libraries/store/store.h
+++ b/libraries/store/store.h
@@ -1,7 +1,7 @@
-// The platform's key-value store as the product sees it: typed calls and answers, no transport.
+// Interface to the platform's key-value store: typed requests and responses, without a transport.
 //
-// Every call has a time limit of the caller's own, because a connection may go silent for good
-// without a reset. A call without an answer may still have taken effect.
+// Each call has a timeout that its caller chooses, because a connection may stall for good without
+// a reset. A call without a response may still have taken effect.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +21,7 @@
     std::string key;
     std::string value;
     std::int64_t revision = 0;  // of its last change
-    std::int64_t lease = 0;     // under which it stands; 0: none, or not told
+    std::int64_t lease = 0;     // to which it is attached; 0: none, or not reported
 
     bool operator==(const item&) const = default;
 };
@@ -31,17 +31,17 @@
     std::int64_t revision = 0;
 };
 
-// What stands under one key; nothing when the key doesn't exist.
+// The item under one key; nullopt when the key doesn't exist.
 struct lookup_result {
     std::optional<item> content;
-    std::int64_t revision = 0;  // the store's revision when it answered
+    std::int64_t revision = 0;  // the store's revision when it responded
 };
 
 // One page of a range read. Pages are not a snapshot of one revision.
 struct page {
     std::vector<item> items;
     bool has_more = false;
-    std::int64_t revision = 0;  // the store's revision when it answered
+    std::int64_t revision = 0;  // the store's revision when it responded
 };
 
 using event = std::variant<item, removal>;
@@ -55,7 +55,7 @@
     std::int64_t revision = 0;  // the next watch continues after this one
 };
 
-struct expectation {
+struct precondition {
     std::string key;
     std::int64_t revision = 0;  // 0: the key must not exist
 };
@@ -66,9 +66,9 @@
     std::int64_t lease = 0;  // 0: the key outlives its writer
 };
 
-// Applied as a whole or not at all.
+// Applied atomically.
 struct transaction {
-    std::vector<expectation> expectations;
+    std::vector<precondition> preconditions;
     std::vector<write> writes;
     std::vector<std::string> removals;
 };
@@ -82,17 +82,17 @@
     clock::duration lifetime{0};
 };
 
-// store_unavailable, store_throttled, history_gone, condition_failed or lease_ended.
-template <typename answer>
-using outcome = std::variant<answer, result_code>;
+// The result, or store_unavailable, store_throttled, history_gone, condition_failed or lease_ended.
+template <typename result>
+using outcome = std::variant<result, result_code>;
 
-template <typename answer>
-using callback = std::function<void(const outcome<answer>&, clock::time_point now)>;
+template <typename result>
+using callback = std::function<void(const outcome<result>&, clock::time_point now)>;
 
-// How new what is read has to be.
+// How recent the data of a read has to be.
 enum class read_freshness {
     newest,
-    seconds_old  // at a fraction of the price; later changes show up in a watch
+    seconds_old  // at a fraction of the price; a watch reports later changes
 };
 
 class client {
@@ -102,19 +102,21 @@
     client& operator=(const client&) = delete;
     virtual ~client() = default;
 
-    virtual void get(std::string_view key, clock::duration limit, callback<lookup_result> done) = 0;
+    virtual void get(std::string_view key, clock::duration timeout,
+                     callback<lookup_result> done) = 0;
     // Items whose key begins with `prefix` and sorts after `after_key`.
     virtual void range(std::string_view prefix, std::string_view after_key,
-                       read_freshness freshness, clock::duration limit, callback<page> done) = 0;
-    // Answers at the first change after `revision`, or without events after `wait`.
+                       read_freshness freshness, clock::duration timeout, callback<page> done) = 0;
+    // Responds at the first change after `revision`, or without events after `wait`.
     virtual void watch(std::string_view prefix, std::int64_t revision, clock::duration wait,
-                       clock::duration limit, callback<watch_result> done) = 0;
-    virtual void commit(const transaction& wanted, clock::duration limit,
+                       clock::duration timeout, callback<watch_result> done) = 0;
+    virtual void commit(const transaction& request, clock::duration timeout,
                         callback<committed> done) = 0;
-    virtual void grant_lease(clock::duration lifetime, clock::duration limit,
+    virtual void grant_lease(clock::duration lifetime, clock::duration timeout,
                              callback<lease> done) = 0;
-    virtual void renew_lease(std::int64_t number, clock::duration limit, callback<lease> done) = 0;
-    virtual void end_lease(std::int64_t number, clock::duration limit, callback<lease> done) = 0;
+    virtual void renew_lease(std::int64_t number, clock::duration timeout,
+                             callback<lease> done) = 0;
+    virtual void end_lease(std::int64_t number, clock::duration timeout, callback<lease> done) = 0;
 };
 
 }  // namespace bramleytrack::store
--- a/services/bramleyctl/store_session.cpp
+++ b/services/bramleyctl/store_session.cpp
@@ -63,7 +63,7 @@
     auto wait = first_retry;
     while (true) {
         const auto answer =
-            commit({.expectations = {{.key = std::string{key}, .revision = expected}},
+            commit({.preconditions = {{.key = std::string{key}, .revision = expected}},
                     .writes = {{.key = std::string{key}, .value = value}},
                     .removals = {}});
         if (const auto* done = std::get_if<store::committed>(&answer)) {
--- a/services/bramleyd/peer_exchange.cpp
+++ b/services/bramleyd/peer_exchange.cpp
@@ -220,7 +220,7 @@
         record.key = each.last.key;
         record.value = each.last.value;
         record.value_revision = each.last.revision;
-        record.revision = each.removed_at;
+        record.revision = each.removal_revision;
         record.is_removed = true;
     }
     return wire::encode_store_changes(answer, key_);
@@ -246,7 +246,7 @@
         for (const auto& each : changes->records) {
             told.push_back(
                 {.last = {.key = each.key, .value = each.value, .revision = each.value_revision},
-                 .removed_at = each.revision});
+                 .removal_revision = each.revision});
         }
     }
     log_.write(log_event{"asked_for_ended"}
--- a/tests/kv_store_test.cpp
+++ b/tests/kv_store_test.cpp
@@ -65,7 +65,7 @@
     store::outcome<store::committed> commit(const std::string& body, int status) {
         return outcome_of<store::committed>(
             body, status, [this](store::callback<store::committed> done) {
-                subject_.commit({.expectations = {{.key = "k", .revision = 3}},
+                subject_.commit({.preconditions = {{.key = "k", .revision = 3}},
                                  .writes = {{.key = "k", .value = "v"}},
                                  .removals = {}},
                                 limit, std::move(done));
--- a/tests/store_feed_test.cpp
+++ b/tests/store_feed_test.cpp
@@ -1,4 +1,4 @@
-// Store: an instance follows the store through outages, silence and lost history.
+// Store: the feed keeps the mirror current despite outages, lost responses and lost history.
 #include <gtest/gtest.h>
 
 #include "store/feed.h"
@@ -15,8 +15,8 @@
 class store_feed : public ::testing::Test {
 protected:
     testing::fake_store store_;
-    store::mirror known_;
-    store::feed feed_{store_, known_, 1};
+    store::mirror mirror_;
+    store::feed feed_{store_, mirror_, 1};
     std::vector<bool> states_;
     std::size_t changes_ = 0;
 
@@ -29,89 +29,89 @@
         });
     }
 
-    static item written(const char* key, std::int64_t revision) {
+    static item make_item(const char* key, std::int64_t revision) {
         return {.key = key, .value = "", .revision = revision};
     }
 
-    // Answers the newest read with `items` as of `revision`.
-    void answer_read(std::vector<item> items, std::int64_t revision, clock::time_point now) {
+    // Completes the newest read with `items` as of `revision`.
+    void complete_read(std::vector<item> items, std::int64_t revision, clock::time_point now) {
         store_.ranges.back().done(
             store::page{.items = std::move(items), .has_more = false, .revision = revision}, now);
     }
 
     void become_watching(clock::time_point now) {
         feed_.tick(now);
-        answer_read({written("a", 3)}, 3, now);
+        complete_read({make_item("a", 3)}, 3, now);
         feed_.tick(now);
         ASSERT_EQ(store_.watches.size(), 1U);
     }
 };
 
-TEST_F(store_feed, reads_everything_and_then_watches_from_there) {
+TEST_F(store_feed, watches_from_the_revision_of_the_first_read) {
     become_watching(start);
     EXPECT_TRUE(feed_.is_complete());
     EXPECT_EQ(store_.watches.back().revision, 3);
     EXPECT_EQ(changes_, 1U);
 }
 
-TEST_F(store_feed, reads_all_pages_and_watches_from_the_first) {
-    // Pages aren't a snapshot: what changed after the first page was read may be missing in it, so
-    // the watch has to begin there.
+TEST_F(store_feed, watches_from_the_revision_of_the_first_page) {
+    // Pages aren't a snapshot: the first page may lack changes that happened after it was read, so
+    // the watch has to start at its revision.
     feed_.tick(start);
-    store_.ranges[0].done(store::page{.items = {written("a", 3)}, .has_more = true, .revision = 5},
-                          start);
+    store_.ranges[0].done(
+        store::page{.items = {make_item("a", 3)}, .has_more = true, .revision = 5}, start);
     ASSERT_EQ(store_.ranges.size(), 2U);
     EXPECT_EQ(store_.ranges[1].after_key, "a");
-    store_.ranges[1].done(store::page{.items = {written("b", 6)}, .has_more = false, .revision = 7},
-                          start);
+    store_.ranges[1].done(
+        store::page{.items = {make_item("b", 6)}, .has_more = false, .revision = 7}, start);
     feed_.tick(start);
     EXPECT_EQ(store_.watches.back().revision, 5);
-    EXPECT_EQ(known_.size(), 2U);
+    EXPECT_EQ(mirror_.size(), 2U);
 }
 
-TEST_F(store_feed, the_first_read_may_be_old_and_confirms_nothing) {
-    // Guards against 600 instances that read everything at the full price when power is back.
+TEST_F(store_feed, the_first_read_may_be_stale_and_is_no_confirmation) {
+    // Guards against 600 instances that read all keys at the full price after a power failure.
     feed_.tick(start);
     EXPECT_EQ(store_.ranges.back().freshness, store::read_freshness::seconds_old);
-    answer_read({written("a", 3)}, 3, start);
+    complete_read({make_item("a", 3)}, 3, start);
     EXPECT_TRUE(feed_.is_complete());
     EXPECT_EQ(feed_.confirmed_at(), clock::time_point{});
     feed_.reread(start);
     EXPECT_EQ(store_.ranges.back().freshness, store::read_freshness::newest);
-    answer_read({written("a", 3)}, 3, start);
+    complete_read({make_item("a", 3)}, 3, start);
     EXPECT_EQ(feed_.confirmed_at(), start);
 }
 
-TEST_F(store_feed, a_read_counts_from_its_oldest_page) {
-    // Guards against a change that is missing for good: a later page was older than the first.
+TEST_F(store_feed, a_read_has_the_lowest_revision_of_its_pages) {
+    // Guards against a change that is never received because a later page was older than the first.
     feed_.tick(start);
-    store_.ranges[0].done(store::page{.items = {written("a", 3)}, .has_more = true, .revision = 9},
-                          start);
-    store_.ranges[1].done(store::page{.items = {written("b", 4)}, .has_more = false, .revision = 6},
-                          start);
+    store_.ranges[0].done(
+        store::page{.items = {make_item("a", 3)}, .has_more = true, .revision = 9}, start);
+    store_.ranges[1].done(
+        store::page{.items = {make_item("b", 4)}, .has_more = false, .revision = 6}, start);
     feed_.tick(start);
     EXPECT_EQ(store_.watches.back().revision, 6);
 }
 
-TEST_F(store_feed, asks_a_second_time_when_the_first_read_is_late) {
-    // At the start the answer of the first read is lost, and nothing can be routed before there is
-    // one. Waiting for the whole limit would add a second to the dark time.
+TEST_F(store_feed, hedges_a_first_read_that_is_late) {
+    // The response to the first read is lost at startup, and nothing can be routed without one.
+    // Waiting for the whole timeout would delay routing by a second.
     feed_.tick(start);
     feed_.tick(start + clock::duration{300});
     EXPECT_EQ(store_.ranges.size(), 1U);
     feed_.tick(start + clock::duration{400});
     ASSERT_EQ(store_.ranges.size(), 2U);
-    answer_read({written("a", 3)}, 3, start + clock::duration{410});
+    complete_read({make_item("a", 3)}, 3, start + clock::duration{410});
     EXPECT_TRUE(feed_.is_complete());
-    // The first answer comes after all, with an older state: it isn't heard any more.
+    // The late response to the first read has a different state and is ignored.
     store_.ranges[0].done(store::page{.items = {}, .has_more = false, .revision = 9},
                           start + clock::duration{500});
-    EXPECT_EQ(known_.items().size(), 1U);
+    EXPECT_EQ(mirror_.items().size(), 1U);
 }
 
-TEST_F(store_feed, a_watch_that_fails_is_followed_by_a_read_within_a_second) {
-    // The store is away for four seconds. Changes that it made meanwhile are missed by a watch from
-    // the old revision if the history went, so everything is read.
+TEST_F(store_feed, a_failed_watch_is_followed_by_a_read_within_a_second) {
+    // The store is unreachable for four seconds. A watch from the old revision would miss changes
+    // made meanwhile if the history was lost, so all keys are read.
     become_watching(start);
     auto now = start + clock::duration{2'300};
     store_.watches.back().done(result_code::store_unavailable, now);
@@ -122,7 +122,7 @@
         feed_.tick(now);
     }
     ASSERT_GT(store_.ranges.size(), reads);
-    answer_read({written("a", 8)}, 8, now);
+    complete_read({make_item("a", 8)}, 8, now);
     EXPECT_EQ(states_.back(), true);
     EXPECT_EQ(feed_.unreachable_at(), now);
 }
@@ -143,26 +143,27 @@
     EXPECT_GE(store_.ranges.size(), 20U);
 }
 
-TEST_F(store_feed, lost_history_is_read_anew_at_once) {
+TEST_F(store_feed, all_keys_are_read_at_once_when_the_history_is_lost) {
     become_watching(start);
     store_.watches.back().done(result_code::history_gone, start);
     EXPECT_EQ(store_.ranges.size(), 2U);
 }
 
-TEST_F(store_feed, a_watch_that_waited_in_vain_confirms_the_end_of_its_wait) {
-    // Dated by when it was sent, the word of a quiet store would be up to twice a wait old, and
-    // every instance would take its watcher for deaf and watch itself.
+TEST_F(store_feed, a_watch_without_events_confirms_the_state_at_the_end_of_its_wait) {
+    // If the time of sending counted, confirmations of a store without changes would be up to two
+    // waits old, and every instance would treat its watcher as stalled and watch itself.
     become_watching(start);
-    const auto answered = start + clock::duration{1'910};
-    store_.watches.back().done(store::watch_result{.events = {}, .revision = 3}, answered);
+    const auto responded_at = start + clock::duration{1'910};
+    store_.watches.back().done(store::watch_result{.events = {}, .revision = 3}, responded_at);
     EXPECT_EQ(feed_.confirmed_at(), start + clock::duration{1'900});
 }
 
-TEST_F(store_feed, several_watchers_together_cost_what_one_does) {
-    // Guards against six instances of a large fleet whose watches are all answered by each change.
+TEST_F(store_feed, several_watchers_make_as_many_calls_as_one) {
+    // Guards against the cost of six watching instances of a large fleet that all receive a
+    // response for each change.
     feed_.set_expected_watchers(4);
     become_watching(start);
-    store_.watches.back().done(store::watch_result{.events = {written("b", 4)}, .revision = 4},
+    store_.watches.back().done(store::watch_result{.events = {make_item("b", 4)}, .revision = 4},
                                start);
     EXPECT_TRUE(feed_.is_pausing());
     feed_.tick(start + clock::duration{700});
@@ -170,19 +171,19 @@
     feed_.tick(start + clock::duration{800});
     EXPECT_EQ(store_.watches.size(), 2U);
     EXPECT_FALSE(feed_.is_pausing());
-    // A change is never kept waiting for more than a second.
+    // A change is never delayed by more than a second.
     feed_.set_expected_watchers(100);
-    store_.watches.back().done(store::watch_result{.events = {written("c", 5)}, .revision = 5},
+    store_.watches.back().done(store::watch_result{.events = {make_item("c", 5)}, .revision = 5},
                                start + clock::duration{900});
     feed_.tick(start + clock::duration{1'900});
     EXPECT_EQ(store_.watches.size(), 3U);
 }
 
-TEST_F(store_feed, changes_that_come_together_cost_one_call) {
-    // A release changes a target each few milliseconds; a watch that begins anew at once is
-    // answered for each of them.
+TEST_F(store_feed, changes_in_a_burst_cost_one_call) {
+    // A release changes a target every few milliseconds; a watch that restarts immediately receives
+    // a response for each of them.
     become_watching(start);
-    store_.watches.back().done(store::watch_result{.events = {written("b", 4)}, .revision = 4},
+    store_.watches.back().done(store::watch_result{.events = {make_item("b", 4)}, .revision = 4},
                                start);
     feed_.tick(start + clock::duration{100});
     EXPECT_EQ(store_.watches.size(), 1U);
@@ -191,9 +192,9 @@
     EXPECT_EQ(store_.watches.back().revision, 4);
 }
 
-TEST_F(store_feed, a_store_that_cannot_watch_is_not_asked_without_a_pause) {
-    // It answers each watch at once, without news. Asked anew at once, 610 instances would make as
-    // many calls as their connections take.
+TEST_F(store_feed, pauses_between_watches_of_a_store_without_watch_support) {
+    // Such a store responds to each watch at once, without events. Without a pause, 610 instances
+    // would make as many calls as their connections allow.
     become_watching(start);
     store_.watches.back().done(store::watch_result{.events = {}, .revision = 3}, start);
     feed_.tick(start + clock::duration{400});
@@ -202,7 +203,7 @@
     EXPECT_EQ(store_.watches.size(), 2U);
 }
 
-TEST_F(store_feed, begins_no_watch_while_none_is_wanted) {
+TEST_F(store_feed, starts_no_watch_while_watches_are_disabled) {
     become_watching(start);
     feed_.set_watch_enabled(false);
     store_.watches.back().done(store::watch_result{.events = {}, .revision = 3}, start);
--- a/tests/store_write_test.cpp
+++ b/tests/store_write_test.cpp
@@ -1,4 +1,4 @@
-// bramleyctl: a write's way to the store, against the stand-in store on loopback.
+// bramleyctl: compare-and-swap writes to the stand-in store on loopback.
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
 #include <netinet/in.h>
@@ -24,16 +24,17 @@
 constexpr std::string_view key = "configuration";
 
 std::string free_address() {
-    const int held = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+    const int listener = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     auto address = *net::parse_address("127.0.0.1:0");
     socklen_t size = sizeof(address);
-    EXPECT_EQ(bind(held, reinterpret_cast<sockaddr*>(&address), size), 0);
-    getsockname(held, reinterpret_cast<sockaddr*>(&address), &size);
-    close(held);
+    EXPECT_EQ(bind(listener, reinterpret_cast<sockaddr*>(&address), size), 0);
+    getsockname(listener, reinterpret_cast<sockaddr*>(&address), &size);
+    close(listener);
     return net::to_string(address);
 }
 
-// A stand-in store that counts writes and lets a test act between a write and its lost answer.
+// A stand-in store that counts writes and runs `after_write` before the client learns the result of
+// a write.
 struct store_fixture : ::testing::Test {
     ev::default_loop loop;
     std::string address = free_address();
@@ -59,7 +60,7 @@
         store.handle(request, [](const net::http_response&) {});
     }
 
-    // Another operator's write, past the faults of the network. Returns the key's version.
+    // Writes as another operator, without the injected faults. Returns the key's version.
     std::int64_t write_as_other(const std::string& value) {
         net::http_request request;
         request.method = "PUT";
@@ -69,25 +70,25 @@
         store.handle(request, [](const net::http_response&) {});
         return ++last_revision;
     }
-    // The store's counter begins above 0, and each write here raises it by one.
+    // The store's revision starts above 0, and each write in these tests increments it.
     std::int64_t last_revision = 1;
 };
 
 using store_write = store_fixture;
 
-TEST_F(store_write, a_lost_answer_is_no_conflict) {
-    // The store writes the text and its answer is lost. The operator's tool tried again, met its
-    // own write and said that someone else had been first.
+TEST_F(store_write, a_lost_response_is_not_a_conflict) {
+    // The write takes effect and its response is lost. The tool retried, found its own write and
+    // reported a conflict with another operator.
     const auto text = with_trail("{}", "", {"mine", "apply"});
     set_fault("lost", "1");
     EXPECT_EQ(session.compare_and_swap(key, 0, text, "mine"), outcome{written{.version = 2}});
     EXPECT_EQ(writes, 1);
 }
 
-TEST_F(store_write, a_lost_answer_before_another_write_is_told_apart) {
-    // The write takes effect, its answer is lost, and a second operator writes on top of it before
-    // the tool reads again. The value in the store is not ours any more, yet our change is in
-    // force: calling it a conflict makes the operator repeat it.
+TEST_F(store_write, a_lost_response_followed_by_another_write_is_not_a_conflict) {
+    // The write takes effect, its response is lost, and a second operator writes on top of it
+    // before the tool reads again. The stored value differs from the one written, but contains the
+    // change; reporting a conflict would make the operator repeat it.
     const auto mine = with_trail("{}", "", {"mine", "zone out north"});
     set_fault("lost", "1");
     after_write = [&] { write_as_other(with_trail("{}", mine, {"theirs", "target drain t"})); };
@@ -95,9 +96,9 @@
               (outcome{written{.version = 3, .is_replaced = true}}));
 }
 
-TEST_F(store_write, the_second_of_two_operators_is_told_what_changed) {
-    // Two operators read the same version. The second write is refused and names the first's
-    // change.
+TEST_F(store_write, a_conflict_names_the_change_of_the_other_operator) {
+    // Two operators read the same version. The second write is rejected, and the difference names
+    // the change of the first.
     const auto base = with_trail("{}", "", {"base", "apply"});
     const auto read_by_both = write_as_other(base);
     const auto theirs = with_trail("{}", base, {"theirs", "zone out north"});
@@ -111,22 +112,23 @@
     EXPECT_EQ(std::get<store::lookup_result>(now).content->value, theirs);
 }
 
-TEST_F(store_write, a_key_that_does_not_exist_is_an_answer) {
-    // Before the first text there is nothing to read, which isn't an outage.
+TEST_F(store_write, a_missing_key_is_a_valid_result) {
+    // Before the first configuration the key doesn't exist, which isn't an outage.
     EXPECT_FALSE(std::get<store::lookup_result>(session.read(key)).content.has_value());
     set_fault("down", "1");
     EXPECT_EQ(std::get<result_code>(session.read(key)), result_code::store_unavailable);
 }
 
-TEST_F(store_write, a_store_that_stays_down_leaves_the_write_in_doubt) {
-    // Nothing answers until the timeout. Neither "written" nor "not written" would be true.
+TEST_F(store_write, a_write_during_a_long_outage_is_in_doubt) {
+    // The store doesn't respond until the timeout, so neither "written" nor "not written" is
+    // certain.
     set_fault("down", "1");
     EXPECT_EQ(session.compare_and_swap(key, 0, with_trail("{}", "", {"mine", ""}), "mine"),
               outcome{result_code::write_in_doubt});
     EXPECT_LE(writes, 6);
 }
 
-TEST(change_trail, keeps_the_newest_and_the_text) {
+TEST(change_trail, keeps_the_newest_marks_and_the_text) {
     std::string text = "{\n  // a comment of the operators\n}\n";
     const auto bare = text;
     for (int i = 0; i < 40; ++i) {
