--- a/services/bramleyd/peer_exchange.cpp
+++ b/services/bramleyd/peer_exchange.cpp
@@ -225,7 +225,7 @@
         record.key = each.last.key;
         record.value = each.last.value;
         record.value_revision = each.last.revision;
-        record.revision = each.removed_at;
+        record.revision = each.removal_revision;
         record.is_removed = true;
     }
     return wire::encode_store_changes(response, key_);
@@ -252,7 +252,7 @@
         for (const auto& each : changes->records) {
             removed.push_back(
                 {.last = {.key = each.key, .value = each.value, .revision = each.value_revision},
-                 .removed_at = each.revision});
+                 .removal_revision = each.revision});
         }
     }
     log_.write(log_event{"asked_for_ended"}
--- a/services/bramleyd/steering_daemon.cpp
+++ b/services/bramleyd/steering_daemon.cpp
@@ -266,7 +266,7 @@
     for (const auto& each : events) {
         if (const auto* written = std::get_if<store::item>(&each)) {
             if (written->key == platform_.registration_key) {
-                registration_.adopt(written->value, written->lease);
+                registration_.adopt_lease(written->value, written->lease);
             }
             apply(platform_.records.read(written->key, written->value), written->revision, now);
         } else {
@@ -324,7 +324,7 @@
     }
     is_ready_ = is_ready;
     log_.write(log_event{is_ready ? "ready" : "not_ready"}
-                   .with("version", directory_.in_force().version)
+                   .with("version", directory_.current_catalogue().version)
                    .with("targets", static_cast<std::int64_t>(directory_.target_count()))
                    .with("confirmed_ms_ago", confirmed_milliseconds_ago(now)));
 }
@@ -340,7 +340,7 @@
     const auto now = clock::now();
     stop_.begin(now, others_in_rotation(now));
     log_.write(log_event{"stopping"}.with("grace_ms", settings_.stop_grace.count()));
-    registration_.end(now);
+    registration_.deregister(now);
     update_readiness(now);
 }
 
@@ -407,7 +407,7 @@
                             .demand_local = usage.wants().here,
                             .demand_remote = usage.wants().elsewhere});
     }
-    return metrics_.render({.catalogue_version = directory_.in_force().version,
+    return metrics_.render({.catalogue_version = directory_.current_catalogue().version,
                             .known_revision = mirror_.revision(),
                             .confirmed_ms_ago = confirmed_milliseconds_ago(now),
                             .targets = static_cast<std::int64_t>(directory_.target_count()),
--- a/tests/kv_store_test.cpp
+++ b/tests/kv_store_test.cpp
@@ -66,7 +66,7 @@
     store::outcome<store::committed> commit(const std::string& body, int status) {
         return outcome_of<store::committed>(
             body, status, [this](store::callback<store::committed> done) {
-                store_.commit({.expectations = {{.key = "k", .revision = 3}},
+                store_.commit({.preconditions = {{.key = "k", .revision = 3}},
                                .writes = {{.key = "k", .value = "v"}},
                                .removals = {}},
                               limit, std::move(done));
