--- a/services/bramleybench/overload_fleet.cpp
+++ b/services/bramleybench/overload_fleet.cpp
@@ -144,23 +144,25 @@
                                clock::time_point now) {
     now_ = now;
     const auto token = discovery::token_of("i-" + std::to_string(host));
-    instances_[number].inquiries->on_probe(token, is_reachable, now);
+    instances_[number].inquiries->on_probe_result(token, is_reachable, now);
 }
 
 void overload_fleet::checks::probe(const discovery::target& target) {
     fleet_.probe_(number_, fleet_.host_of(target.token));
 }
 
-void overload_fleet::checks::ask(const discovery::peer_entry& peer,
-                                 discovery::routing_token token) {
+void overload_fleet::checks::request_indirect_probe(const discovery::peer_entry& peer,
+                                                    discovery::routing_token token) {
     auto& asked = fleet_.instances_[fleet_.number_of_.at(peer.name)];
-    asked.inquiries->on_probe_request(fleet_.instances_[number_].name, token, fleet_.now_);
+    asked.inquiries->on_indirect_probe_request(fleet_.instances_[number_].name, token, fleet_.now_);
 }
 
-void overload_fleet::checks::answer(const discovery::peer_entry& peer,
-                                    discovery::routing_token token, bool is_reachable) {
+void overload_fleet::checks::send_indirect_probe_result(const discovery::peer_entry& peer,
+                                                        discovery::routing_token token,
+                                                        bool is_reachable) {
     auto& asker = fleet_.instances_[fleet_.number_of_.at(peer.name)];
-    asker.inquiries->on_answer(fleet_.instances_[number_].name, token, is_reachable, fleet_.now_);
+    asker.inquiries->on_indirect_probe_result(fleet_.instances_[number_].name, token, is_reachable,
+                                              fleet_.now_);
 }
 
 void overload_fleet::checks::on_dead(const discovery::target& target, clock::time_point probed_at,
--- a/services/bramleybench/overload_fleet.h
+++ b/services/bramleybench/overload_fleet.h
@@ -72,9 +72,10 @@
         checks(overload_fleet& fleet, std::size_t number) : fleet_{fleet}, number_{number} {}
 
         void probe(const discovery::target& target) override;
-        void ask(const discovery::peer_entry& peer, discovery::routing_token token) override;
-        void answer(const discovery::peer_entry& peer, discovery::routing_token token,
-                    bool is_reachable) override;
+        void request_indirect_probe(const discovery::peer_entry& peer,
+                                    discovery::routing_token token) override;
+        void send_indirect_probe_result(const discovery::peer_entry& peer,
+                                        discovery::routing_token token, bool is_reachable) override;
         void on_dead(const discovery::target& target, clock::time_point probed_at,
                      std::span<const std::string> confirmed_by, clock::time_point now) override;
         void on_reported_dead(const discovery::target& target, clock::time_point until) override;
--- a/services/bramleyd/peer_exchange.cpp
+++ b/services/bramleyd/peer_exchange.cpp
@@ -70,8 +70,8 @@
 
 void peer_exchange::tick(const digest_facts& facts, const steering::steering& core,
                          clock::time_point now) {
-    const bool has_news =
-        facts.known_revision > told_.known_revision || (inquiries_ && inquiries_->has_news());
+    const bool has_news = facts.known_revision > told_.known_revision ||
+                          (inquiries_ && inquiries_->has_unsent_verdicts());
     if (now < next_digest_ && !has_news) {
         return;
     }
--- a/services/bramleyd/target_checks.cpp
+++ b/services/bramleyd/target_checks.cpp
@@ -37,11 +37,12 @@
       probes_{loop} {
     exchange_.on_probe_request(
         [this](std::string_view peer, discovery::routing_token token, clock::time_point now) {
-            inquiries_.on_probe_request(peer, token, now);
+            inquiries_.on_indirect_probe_request(peer, token, now);
         });
-    exchange_.on_answer(
-        [this](std::string_view peer, discovery::routing_token token, bool is_reachable,
-               clock::time_point now) { inquiries_.on_answer(peer, token, is_reachable, now); });
+    exchange_.on_answer([this](std::string_view peer, discovery::routing_token token,
+                               bool is_reachable, clock::time_point now) {
+        inquiries_.on_indirect_probe_result(peer, token, is_reachable, now);
+    });
     exchange_.on_verdicts([this](std::string_view peer,
                                  std::span<const wire::dead_target_report> told,
                                  clock::time_point now) { on_verdicts(peer, told, now); });
@@ -55,7 +56,7 @@
 }
 
 void target_checks::on_entry(std::string_view target_id) {
-    inquiries_.on_entry(discovery::token_of(target_id));
+    inquiries_.on_store_update(discovery::token_of(target_id));
 }
 
 void target_checks::on_verdicts(std::string_view peer,
@@ -72,16 +73,17 @@
     ++probes_begun_;
     probes_.begin(socket_address_of(target.entry.address), probe_limit,
                   [this, token = target.token](bool is_reachable) {
-                      inquiries_.on_probe(token, is_reachable, clock::now());
+                      inquiries_.on_probe_result(token, is_reachable, clock::now());
                   });
 }
 
-void target_checks::ask(const discovery::peer_entry& peer, discovery::routing_token token) {
+void target_checks::request_indirect_probe(const discovery::peer_entry& peer,
+                                           discovery::routing_token token) {
     exchange_.ask_whether_reachable(peer, token);
 }
 
-void target_checks::answer(const discovery::peer_entry& peer, discovery::routing_token token,
-                           bool is_reachable) {
+void target_checks::send_indirect_probe_result(const discovery::peer_entry& peer,
+                                               discovery::routing_token token, bool is_reachable) {
     exchange_.tell_whether_reachable(peer, token, is_reachable);
 }
 
--- a/tests/fleet_target_failure_detector_test.cpp
+++ b/tests/fleet_target_failure_detector_test.cpp
@@ -1,5 +1,5 @@
-// Fleet: a target that leaves packets unanswered is found dead by several instances together, and a
-// target that lives isn't.
+// Fleet: a target that leaves packets unanswered is declared dead after several instances failed to
+// reach it, and a live target isn't.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -19,7 +19,7 @@
 constexpr clock::time_point start = to_time_point(1'000'000);
 constexpr clock::duration probe_limit{60};
 
-// Instances with what they know and found, and the messages between them, which take no time.
+// Instances with their failure detectors, and the messages between them, which take no time.
 class fleet_target_failure_detector : public ::testing::Test {
 protected:
     static inline const routing_token token_of_target = discovery::token_of("i-1");
@@ -30,32 +30,36 @@
             : fleet{owner},
               name{own_name},
               zone{own_zone},
-              inquiries{owner.known_, own_name, own_zone, *this} {}
+              detector{owner.directory_, own_name, own_zone, *this} {}
 
         void probe(const discovery::target& target) override {
             ++all_probes;
             const bool is_control = target.token != token_of_target;
             probes += is_control ? 0 : 1;
-            const bool is_answered = is_control && fleet.are_controls_reached_;
-            if (is_answered || fleet.can_reach_(*this)) {
-                fleet.later_.emplace_back(
-                    [this, token = target.token] { inquiries.on_probe(token, true, fleet.now_); });
+            const bool is_reachable_control = is_control && fleet.are_control_targets_reachable_;
+            if (is_reachable_control || fleet.can_reach_(*this)) {
+                fleet.pending_messages_.emplace_back([this, token = target.token] {
+                    detector.on_probe_result(token, true, fleet.now_);
+                });
             } else {
-                probing.push_back(target.token);
+                unanswered_probes.push_back(target.token);
             }
         }
-        void ask(const discovery::peer_entry& peer, routing_token token) override {
-            ++questions;
-            fleet.later_.emplace_back([this, to = peer.name, token] {
-                if (!fleet.gone_.contains(to)) {
-                    fleet.named(to).inquiries.on_probe_request(name, token, fleet.now_);
+        void request_indirect_probe(const discovery::peer_entry& peer,
+                                    routing_token token) override {
+            ++indirect_probe_requests;
+            fleet.pending_messages_.emplace_back([this, to = peer.name, token] {
+                if (!fleet.unresponsive_.contains(to)) {
+                    fleet.instance_named(to).detector.on_indirect_probe_request(name, token,
+                                                                                fleet.now_);
                 }
             });
         }
-        void answer(const discovery::peer_entry& peer, routing_token token,
-                    bool is_reachable) override {
-            fleet.later_.emplace_back([this, to = peer.name, token, is_reachable] {
-                fleet.named(to).inquiries.on_answer(name, token, is_reachable, fleet.now_);
+        void send_indirect_probe_result(const discovery::peer_entry& peer, routing_token token,
+                                        bool is_reachable) override {
+            fleet.pending_messages_.emplace_back([this, to = peer.name, token, is_reachable] {
+                fleet.instance_named(to).detector.on_indirect_probe_result(
+                    name, token, is_reachable, fleet.now_);
             });
         }
         void on_dead(const discovery::target& /*target*/, clock::time_point /*probed_at*/,
@@ -65,35 +69,35 @@
         }
         void on_reported_dead(const discovery::target& /*target*/,
                               clock::time_point /*until*/) override {
-            is_shunning = true;
+            avoids_target = true;
         }
-        void on_reached(const discovery::target& /*target*/) override { is_shunning = false; }
+        void on_reached(const discovery::target& /*target*/) override { avoids_target = false; }
 
         fleet_target_failure_detector& fleet;
         std::string name;
         std::string zone;
-        fleet::target_failure_detector inquiries;
-        std::vector<routing_token> probing;  // without an answer
-        int probes = 0;                      // of the first target
+        fleet::target_failure_detector detector;
+        std::vector<routing_token> unanswered_probes;
+        int probes = 0;  // of the target under test
         int all_probes = 0;
-        int questions = 0;
+        int indirect_probe_requests = 0;
         bool has_flows = false;
         bool has_ended_flows = false;
-        bool is_shunning = false;
+        bool avoids_target = false;
     };
 
     fleet_target_failure_detector() {
-        known_.apply(testing::board_text(), 1, false, start - clock::duration{1});
+        directory_.apply(testing::board_text(), 1, false, start - clock::duration{1});
         for (const auto* id : {"i-1", "i-2", "i-3"}) {
-            known_.apply(testing::board_target(id, "north", 2), 1, false,
-                         start - clock::duration{1});
+            directory_.apply(testing::board_target(id, "north", 2), 1, false,
+                             start - clock::duration{1});
         }
     }
 
     void add_instances(int number, const std::string& zone) {
         for (int i = 0; i < number; ++i) {
             const auto name = zone + "-" + std::to_string(i);
-            known_.apply(
+            directory_.apply(
                 discovery::peer_entry{
                     .name = name, .zone = zone, .address = name, .pull_address = name},
                 2, false, start);
@@ -101,7 +105,7 @@
         }
     }
 
-    instance& named(const std::string& name) {
+    instance& instance_named(const std::string& name) {
         for (auto& each : instances_) {
             if (each->name == name) {
                 return *each;
@@ -111,21 +115,21 @@
     }
 
     void deliver() {
-        while (!later_.empty()) {
-            const auto next = std::move(later_.front());
-            later_.pop_front();
+        while (!pending_messages_.empty()) {
+            const auto next = std::move(pending_messages_.front());
+            pending_messages_.pop_front();
             next();
         }
     }
 
-    // Messages arrive, and probes without an answer reach their limit.
+    // Delivers all messages, and lets unanswered probes time out.
     void settle() {
         deliver();
         for (int round = 0; round < 2; ++round) {
             now_ += probe_limit;
             for (auto& each : instances_) {
-                for (const auto token : std::exchange(each->probing, {})) {
-                    each->inquiries.on_probe(token, false, now_);
+                for (const auto token : std::exchange(each->unanswered_probes, {})) {
+                    each->detector.on_probe_result(token, false, now_);
                 }
             }
             deliver();
@@ -135,27 +139,28 @@
     void advance(clock::duration by) {
         now_ += by;
         for (auto& each : instances_) {
-            each->inquiries.expire(now_);
+            each->detector.expire(now_);
         }
     }
 
-    // Each instance tells the six that come after it.
+    // Each instance sends its verdicts to six others.
     void exchange_digests() {
         constexpr std::size_t receivers = 6;
         for (std::size_t from = 0; from < instances_.size(); ++from) {
-            for (const auto& told : instances_[from]->inquiries.take_verdicts(now_)) {
+            for (const auto& report : instances_[from]->detector.take_verdicts(now_)) {
                 for (std::size_t i = 1; i <= receivers; ++i) {
                     auto& to = *instances_[(from + i * i) % instances_.size()];
-                    to.inquiries.on_reported_dead(instances_[from]->name, told, to.has_flows, now_);
+                    to.detector.on_reported_dead(instances_[from]->name, report, to.has_flows,
+                                                 now_);
                 }
             }
         }
         settle();
     }
 
-    int count(bool instance::*what) const {
+    int count(bool instance::*flag) const {
         return static_cast<int>(
-            std::ranges::count_if(instances_, [what](const auto& each) { return (*each).*what; }));
+            std::ranges::count_if(instances_, [flag](const auto& each) { return (*each).*flag; }));
     }
     int all_probes() const {
         int sum = 0;
@@ -165,92 +170,95 @@
         return sum;
     }
 
-    discovery::directory known_;
+    discovery::directory directory_;
     std::vector<std::unique_ptr<instance>> instances_;
-    std::deque<std::function<void()>> later_;
-    std::set<std::string> gone_;  // they answer nobody
+    std::deque<std::function<void()>> pending_messages_;
+    std::set<std::string> unresponsive_;  // instances that handle no message
     std::function<bool(const instance&)> can_reach_ = [](const instance&) { return false; };
-    bool are_controls_reached_ = true;  // i-2 and i-3
+    bool are_control_targets_reachable_ = true;  // i-2 and i-3
     clock::time_point now_ = start;
 };
 
-TEST_F(fleet_target_failure_detector, ends_flows_of_a_dead_target_of_which_each_instance_has_one) {
-    // Guards against callers of a dead target that wait for their deadlines one by one.
+TEST_F(fleet_target_failure_detector,
+       ends_flows_of_a_dead_target_when_no_instance_has_more_than_one) {
+    // Without shared verdicts, callers of a dead target wait for their deadlines one by one.
     add_instances(40, "north");
     for (int i = 0; i < 6; ++i) {
         instances_[static_cast<std::size_t>(i) * 6]->has_flows = true;
     }
-    instances_[0]->inquiries.suspect(token_of_target, now_);
+    instances_[0]->detector.suspect(token_of_target, now_);
     settle();
     EXPECT_TRUE(instances_[0]->has_ended_flows);
     EXPECT_LE(now_ - start, clock::duration{150});
-    for (int beat = 0; beat < 3; ++beat) {
+    for (int round = 0; round < 3; ++round) {
         exchange_digests();
     }
     EXPECT_EQ(count(&instance::has_ended_flows), 6);
-    EXPECT_GE(count(&instance::is_shunning), 39);
-    // Those with flows, and the three that the first one asked.
+    EXPECT_GE(count(&instance::avoids_target), 39);
+    // The six instances with flows, and the three peers that the first one requested to probe.
     EXPECT_LE(all_probes(), 9);
 }
 
 TEST_F(fleet_target_failure_detector, ends_no_flow_when_a_peer_reaches_the_target) {
-    // Guards against an instance with a link of its own that is cut, which finds every target dead.
+    // An instance whose own link is cut reaches no target, and must not declare them all dead.
     add_instances(9, "north");
     can_reach_ = [](const instance& from) { return from.name != "north-0"; };
     instances_[0]->has_flows = true;
-    instances_[0]->inquiries.suspect(token_of_target, now_);
+    instances_[0]->detector.suspect(token_of_target, now_);
     settle();
     EXPECT_EQ(count(&instance::has_ended_flows), 0);
-    EXPECT_TRUE(instances_[0]->inquiries.take_verdicts(now_).empty());
+    EXPECT_TRUE(instances_[0]->detector.take_verdicts(now_).empty());
 }
 
-TEST_F(fleet_target_failure_detector, ends_no_flow_on_the_word_of_peers_alone) {
-    // Guards against half a zone that is cut off from a target and talks the other half into ending
-    // flows that live.
+TEST_F(fleet_target_failure_detector, ends_no_flow_because_of_reports_of_peers_alone) {
+    // Half a zone is cut off from a target; its reports must not make the other half end live
+    // flows.
     add_instances(8, "north");
     can_reach_ = [](const instance& from) { return from.name >= "north-4"; };
     instances_[6]->has_flows = true;
-    instances_[6]->inquiries.on_reported_dead("north-0", {.token = token_of_target}, true, now_);
-    EXPECT_TRUE(instances_[6]->is_shunning);
+    instances_[6]->detector.on_reported_dead("north-0", {.token = token_of_target}, true, now_);
+    EXPECT_TRUE(instances_[6]->avoids_target);
     settle();
     EXPECT_FALSE(instances_[6]->has_ended_flows);
-    EXPECT_FALSE(instances_[6]->is_shunning);
-    // Nor does it pass the word on, or take it from the next peer that tells it.
-    EXPECT_TRUE(instances_[6]->inquiries.take_verdicts(now_).empty());
-    instances_[6]->inquiries.on_reported_dead("north-1", {.token = token_of_target}, true, now_);
-    EXPECT_FALSE(instances_[6]->is_shunning);
+    EXPECT_FALSE(instances_[6]->avoids_target);
+    // Nor does it forward the report, or accept the same one from another peer.
+    EXPECT_TRUE(instances_[6]->detector.take_verdicts(now_).empty());
+    instances_[6]->detector.on_reported_dead("north-1", {.token = token_of_target}, true, now_);
+    EXPECT_FALSE(instances_[6]->avoids_target);
 }
 
-TEST_F(fleet_target_failure_detector, believes_only_peers_of_its_own_zone) {
-    // Guards against two zones that a cut has parted and that find each other's targets dead.
+TEST_F(fleet_target_failure_detector, accepts_reports_of_the_same_zone_only) {
+    // Guards against a partition between two zones, in which each finds the other's targets dead.
     add_instances(3, "north");
     add_instances(3, "south");
-    named("north-0").inquiries.on_reported_dead("south-0", {.token = token_of_target}, true, now_);
+    instance_named("north-0").detector.on_reported_dead("south-0", {.token = token_of_target}, true,
+                                                        now_);
     settle();
-    EXPECT_EQ(count(&instance::is_shunning), 0);
+    EXPECT_EQ(count(&instance::avoids_target), 0);
     EXPECT_EQ(all_probes(), 0);
 }
 
-TEST_F(fleet_target_failure_detector, asks_peers_of_its_own_zone_first) {
+TEST_F(fleet_target_failure_detector, requests_indirect_probes_in_the_same_zone_first) {
     add_instances(5, "south");
     add_instances(5, "north");
     can_reach_ = [](const instance& from) { return from.zone == "south"; };
-    named("north-2").inquiries.suspect(token_of_target, now_);
+    instance_named("north-2").detector.suspect(token_of_target, now_);
     settle();
-    EXPECT_TRUE(named("north-2").has_ended_flows);
+    EXPECT_TRUE(instance_named("north-2").has_ended_flows);
 }
 
-TEST_F(fleet_target_failure_detector, asks_others_when_those_that_were_asked_are_gone) {
-    // Guards against a zone that has lost power together with its targets: its instances are listed
-    // for seconds more, and answer nobody.
+TEST_F(fleet_target_failure_detector,
+       requests_indirect_probes_from_other_peers_when_the_first_are_gone) {
+    // When a zone loses power together with its targets, its instances stay listed for seconds and
+    // send no results.
     add_instances(12, "north");
     for (int i = 1; i < 9; ++i) {
-        gone_.insert("north-" + std::to_string(i));
+        unresponsive_.insert("north-" + std::to_string(i));
     }
-    int repeats = 0;
-    while (!instances_[0]->has_ended_flows && repeats < 20) {
-        ++repeats;
-        instances_[0]->inquiries.suspect(token_of_target, now_);
+    int retransmissions = 0;
+    while (!instances_[0]->has_ended_flows && retransmissions < 20) {
+        ++retransmissions;
+        instances_[0]->detector.suspect(token_of_target, now_);
         settle();
         advance(clock::duration{400});
         advance(clock::duration{600});
@@ -259,46 +267,47 @@
 }
 
 TEST_F(fleet_target_failure_detector,
-       decides_nothing_about_a_service_whose_targets_take_no_connections) {
-    // Guards against a network that lets only packets of flows through to targets, where each that
-    // is slow for a moment would count as dead.
+       reaches_no_verdict_about_a_service_whose_targets_accept_no_connections) {
+    // In a network that lets only packets of flows through to targets, each target that is slow for
+    // a moment would count as dead.
     add_instances(6, "north");
-    are_controls_reached_ = false;
+    are_control_targets_reachable_ = false;
     for (int i = 0; i < 10; ++i) {
-        instances_[0]->inquiries.suspect(token_of_target, now_);
+        instances_[0]->detector.suspect(token_of_target, now_);
         settle();
         advance(clock::duration{1'100});
     }
     EXPECT_EQ(count(&instance::has_ended_flows), 0);
-    EXPECT_TRUE(instances_[0]->inquiries.take_verdicts(now_).empty());
+    EXPECT_TRUE(instances_[0]->detector.take_verdicts(now_).empty());
 }
 
-TEST_F(fleet_target_failure_detector, decides_nothing_without_peers) {
-    // Guards against the only instance that is left, whose own link may be what is cut.
+TEST_F(fleet_target_failure_detector, reaches_no_verdict_without_peers) {
+    // The link of the only remaining instance may be cut while the target is alive.
     add_instances(1, "north");
-    instances_[0]->inquiries.suspect(token_of_target, now_);
+    instances_[0]->detector.suspect(token_of_target, now_);
     settle();
     EXPECT_FALSE(instances_[0]->has_ended_flows);
 }
 
-TEST_F(fleet_target_failure_detector, probes_a_target_once_for_all_that_ask) {
-    // Guards against a slow target that each of its callers' repetitions burdens with a connection.
+TEST_F(fleet_target_failure_detector,
+       reuses_a_probe_result_for_retransmissions_and_requests_of_peers) {
+    // Guards against a slow target that gets a connection for each retransmission of its callers.
     add_instances(4, "north");
     can_reach_ = [](const instance&) { return true; };
     for (int i = 0; i < 20; ++i) {
-        instances_[0]->inquiries.suspect(token_of_target, now_);
+        instances_[0]->detector.suspect(token_of_target, now_);
         settle();
     }
     EXPECT_EQ(instances_[0]->probes, 1);
     for (int i = 1; i < 4; ++i) {
-        instances_[0]->inquiries.on_probe_request("north-" + std::to_string(i), token_of_target,
-                                                  now_);
+        instances_[0]->detector.on_indirect_probe_request("north-" + std::to_string(i),
+                                                          token_of_target, now_);
     }
     EXPECT_EQ(all_probes(), 1);
 }
 
-TEST_F(fleet_target_failure_detector, probes_few_targets_a_second_when_all_answer_late) {
-    // Guards against a rush in which each instance connects to each slow target again and again.
+TEST_F(fleet_target_failure_detector, limits_the_probe_rate_when_all_targets_answer_late) {
+    // Guards against overload in which each instance connects to each slow target repeatedly.
     constexpr int targets = 300;
     add_instances(1, "north");
     can_reach_ = [](const instance&) { return true; };
@@ -306,12 +315,12 @@
         discovery::target_entry entry;
         entry.id = "slow-" + std::to_string(i);
         entry.service = "board";
-        known_.apply(entry, 10 + i, false, start);
+        directory_.apply(entry, 10 + i, false, start);
     }
     for (int second = 0; second < 10; ++second) {
         for (int i = 0; i < targets; ++i) {
             const auto token = discovery::token_of("slow-" + std::to_string(i));
-            instances_[0]->inquiries.suspect(token, now_);
+            instances_[0]->detector.suspect(token, now_);
         }
         deliver();
         advance(clock::duration{1'001});
@@ -320,50 +329,51 @@
     EXPECT_GE(instances_[0]->all_probes, 64);
 }
 
-TEST_F(fleet_target_failure_detector, a_verdict_ends_with_its_lifetime_wherever_it_was_passed_on) {
-    // Guards against word of a death that goes round among peers after the target is back.
+TEST_F(fleet_target_failure_detector,
+       a_verdict_expires_after_its_lifetime_however_it_was_forwarded) {
+    // Guards against a verdict that circulates among peers after the target has recovered.
     add_instances(6, "north");
-    instances_[0]->inquiries.suspect(token_of_target, now_);
+    instances_[0]->detector.suspect(token_of_target, now_);
     settle();
-    const auto found_at = now_;
+    const auto declared_at = now_;
     can_reach_ = [](const instance&) { return true; };
-    while (now_ < found_at + clock::duration{3'300}) {
+    while (now_ < declared_at + clock::duration{3'300}) {
         exchange_digests();
         advance(clock::duration{100});
     }
-    for (int beat = 0; beat < 10; ++beat) {
+    for (int round = 0; round < 10; ++round) {
         for (auto& each : instances_) {
-            EXPECT_TRUE(each->inquiries.take_verdicts(now_).empty());
+            EXPECT_TRUE(each->detector.take_verdicts(now_).empty());
         }
         advance(clock::duration{300});
     }
 }
 
 TEST_F(fleet_target_failure_detector,
-       a_dead_target_that_is_still_listed_is_probed_before_callers_try_it) {
-    // Guards against callers of all instances that try it again as soon as the verdict is old.
+       probes_a_dead_target_that_is_still_listed_before_its_verdict_expires) {
+    // Otherwise callers of all instances try the target again as soon as the verdict has expired.
     add_instances(4, "north");
-    instances_[0]->inquiries.suspect(token_of_target, now_);
+    instances_[0]->detector.suspect(token_of_target, now_);
     settle();
     for (int i = 0; i < 100; ++i) {
         exchange_digests();
         advance(clock::duration{100});
     }
     EXPECT_GE(instances_[0]->probes, 5);
-    EXPECT_TRUE(instances_[2]->is_shunning);
-    // It is back.
+    EXPECT_TRUE(instances_[2]->avoids_target);
+    // The target recovers.
     can_reach_ = [](const instance&) { return true; };
     for (int i = 0; i < 40; ++i) {
         advance(clock::duration{100});
         settle();
     }
-    EXPECT_FALSE(instances_[0]->is_shunning);
+    EXPECT_FALSE(instances_[0]->avoids_target);
 }
 
-TEST_F(fleet_target_failure_detector, a_verdict_that_comes_back_by_another_way_is_the_same) {
-    // Guards against word that goes round for longer, since each teller makes it a little newer.
+TEST_F(fleet_target_failure_detector, a_verdict_forwarded_along_another_path_is_the_same_one) {
+    // Otherwise a verdict circulates for longer, since each forwarder makes it a little younger.
     add_instances(3, "north");
-    auto& subject = named("north-0").inquiries;
+    auto& subject = instance_named("north-0").detector;
     advance(clock::duration{1'000});
     subject.on_reported_dead("north-1", {.token = token_of_target, .age = clock::duration{200}},
                              false, now_);
@@ -371,45 +381,45 @@
     advance(clock::duration{300});
     subject.on_reported_dead("north-2", {.token = token_of_target, .age = clock::duration{490}},
                              false, now_);
-    EXPECT_FALSE(subject.has_news());
-    // A new probe has failed since.
+    EXPECT_FALSE(subject.has_unsent_verdicts());
+    // A newer probe has failed since.
     advance(clock::duration{2'200});
     subject.on_reported_dead("north-2", {.token = token_of_target, .age = clock::duration{10}},
                              false, now_);
-    EXPECT_TRUE(subject.has_news());
+    EXPECT_TRUE(subject.has_unsent_verdicts());
 }
 
-TEST_F(fleet_target_failure_detector, a_target_that_writes_to_the_store_is_alive) {
+TEST_F(fleet_target_failure_detector, a_store_update_of_a_target_refutes_its_verdict) {
     add_instances(4, "north");
-    instances_[1]->inquiries.on_reported_dead("north-0", {.token = token_of_target}, false, now_);
-    EXPECT_TRUE(instances_[1]->is_shunning);
-    instances_[1]->inquiries.on_entry(token_of_target);
-    EXPECT_FALSE(instances_[1]->is_shunning);
-    EXPECT_TRUE(instances_[1]->inquiries.take_verdicts(now_).empty());
+    instances_[1]->detector.on_reported_dead("north-0", {.token = token_of_target}, false, now_);
+    EXPECT_TRUE(instances_[1]->avoids_target);
+    instances_[1]->detector.on_store_update(token_of_target);
+    EXPECT_FALSE(instances_[1]->avoids_target);
+    EXPECT_TRUE(instances_[1]->detector.take_verdicts(now_).empty());
 }
 
-TEST_F(fleet_target_failure_detector, tells_of_many_dead_targets_in_turn) {
-    // Guards against a lost zone whose first sixteen targets are told over and over.
+TEST_F(fleet_target_failure_detector, sends_the_verdicts_on_many_targets_in_turn) {
+    // Guards against a lost zone of which each digest carries the same sixteen targets.
     constexpr int targets = 60;
     add_instances(2, "north");
     for (int i = 0; i < targets; ++i) {
         discovery::target_entry entry;
         entry.id = "dead-" + std::to_string(i);
-        known_.apply(entry, 10 + i, false, start - clock::duration{1});
-        instances_[0]->inquiries.on_reported_dead(
+        directory_.apply(entry, 10 + i, false, start - clock::duration{1});
+        instances_[0]->detector.on_reported_dead(
             "north-1", {.token = discovery::token_of(entry.id)}, false, now_);
     }
-    std::set<routing_token> told;
+    std::set<routing_token> sent;
     for (int digest = 0; digest < 4; ++digest) {
-        EXPECT_TRUE(instances_[0]->inquiries.has_news());
-        const auto verdicts = instances_[0]->inquiries.take_verdicts(now_);
+        EXPECT_TRUE(instances_[0]->detector.has_unsent_verdicts());
+        const auto verdicts = instances_[0]->detector.take_verdicts(now_);
         EXPECT_LE(verdicts.size(), 16U);
         for (const auto& each : verdicts) {
-            told.insert(each.token);
+            sent.insert(each.token);
         }
     }
-    EXPECT_EQ(told.size(), targets);
-    EXPECT_FALSE(instances_[0]->inquiries.has_news());
+    EXPECT_EQ(sent.size(), targets);
+    EXPECT_FALSE(instances_[0]->detector.has_unsent_verdicts());
 }
 
 }  // namespace
--- a/tests/support/steering_session.cpp
+++ b/tests/support/steering_session.cpp
@@ -65,17 +65,20 @@
       inquiries{known, name, zone, *this} {}
 
 void steering_session::node::probe(const discovery::target& target) {
-    inquiries.on_probe(target.token, !session.is_mute(target.entry.id), session.now_);
+    inquiries.on_probe_result(target.token, !session.is_mute(target.entry.id), session.now_);
 }
 
-void steering_session::node::ask(const discovery::peer_entry& peer,
-                                 discovery::routing_token token) {
-    session.instance_named(peer.name).inquiries.on_probe_request(name, token, session.now_);
+void steering_session::node::request_indirect_probe(const discovery::peer_entry& peer,
+                                                    discovery::routing_token token) {
+    session.instance_named(peer.name).inquiries.on_indirect_probe_request(name, token,
+                                                                          session.now_);
 }
 
-void steering_session::node::answer(const discovery::peer_entry& peer,
-                                    discovery::routing_token token, bool is_reachable) {
-    session.instance_named(peer.name).inquiries.on_answer(name, token, is_reachable, session.now_);
+void steering_session::node::send_indirect_probe_result(const discovery::peer_entry& peer,
+                                                        discovery::routing_token token,
+                                                        bool is_reachable) {
+    session.instance_named(peer.name).inquiries.on_indirect_probe_result(name, token, is_reachable,
+                                                                         session.now_);
 }
 
 void steering_session::node::on_dead(const discovery::target& target, clock::time_point probed_at,
