--- a/libraries/fleet/stop_plan.h
+++ b/libraries/fleet/stop_plan.h
@@ -1,9 +1,9 @@
-// When an instance that was told to stop may end.
+// Decides when an instance that was requested to stop may end its process.
 //
-// The routers take it out of rotation within a second or so; what is under way arrives a little
-// longer. Failure: when fewer than half of a zone's instances are in rotation, the routers use all
-// of them again, also those that have ended, and their packets are lost. So an instance that sees
-// most of its zone leave forwards until its grace is nearly over.
+// The routers take the instance out of rotation within about a second, and packets in flight arrive
+// a little later. But when fewer than half of a zone's instances are in rotation, the routers use
+// all of them again, including those that have ended, and packets to these are lost. So an instance
+// whose zone has mostly left the rotation forwards packets until its grace period is nearly over.
 #pragma once
 
 #include <algorithm>
@@ -16,23 +16,24 @@
 namespace bramleytrack::fleet {
 
 struct stop_limits {
-    // Two probes a second, two misses, and what is under way.
-    clock::duration shortest{1'500};
-    clock::duration quiet{800};
-    // What is left of the grace for ending in order.
-    clock::duration reserve{700};
-    // The routers probe twice a second, and one answer brings an instance back.
-    clock::duration into_rotation{1'000};
+    // The routers probe twice a second and need two failures; the rest is for packets in flight.
+    clock::duration min_stop_time{1'500};
+    // Time without a packet from a caller.
+    clock::duration min_idle_time{800};
+    // The part of the grace period that is left for an orderly shutdown.
+    clock::duration shutdown_time{700};
+    // The routers probe twice a second, and one success puts an instance back into rotation.
+    clock::duration time_to_rotation{1'000};
 };
 
-// The zone's other instances that are in rotation as far as this one knows.
-inline std::size_t others_in_rotation(const discovery::directory& known, std::string_view self,
+// The number of the zone's other instances that are in rotation according to the directory.
+inline std::size_t others_in_rotation(const discovery::directory& directory, std::string_view self,
                                       std::string_view zone, clock::time_point now,
                                       const stop_limits& limits = {}) {
-    return static_cast<std::size_t>(std::ranges::count_if(known.peers(), [&](const auto& each) {
+    return static_cast<std::size_t>(std::ranges::count_if(directory.peers(), [&](const auto& each) {
         const auto& [name, peer] = each;
         return name != self && peer.entry.zone == zone &&
-               now - peer.registered_at >= limits.into_rotation;
+               now - peer.registered_at >= limits.time_to_rotation;
     }));
 }
 
@@ -40,7 +41,7 @@
 public:
     explicit stop_plan(stop_limits limits = {}) : limits_{limits} {}
 
-    // `others` are the zone's other instances that are in rotation now.
+    // `others` is the current result of others_in_rotation().
     void begin(clock::time_point now, std::size_t others) {
         is_begun_ = true;
         begun_at_ = now;
@@ -50,15 +51,16 @@
     bool is_begun() const { return is_begun_; }
     clock::duration elapsed(clock::time_point now) const { return now - begun_at_; }
 
-    // `packet_at` is when a caller's packet last came.
+    // `packet_at` is when the last packet of a caller arrived.
     bool may_end(clock::time_point now, clock::time_point packet_at, std::size_t others,
                  clock::duration grace) const {
         if (!is_begun_) {
             return false;
         }
-        const bool is_quiet = elapsed(now) >= limits_.shortest && now - packet_at >= limits_.quiet;
+        const bool is_idle =
+            elapsed(now) >= limits_.min_stop_time && now - packet_at >= limits_.min_idle_time;
         const bool is_zone_in_rotation = others * 2 >= zone_size_;
-        return (is_quiet && is_zone_in_rotation) || elapsed(now) >= grace - limits_.reserve;
+        return (is_idle && is_zone_in_rotation) || elapsed(now) >= grace - limits_.shutdown_time;
     }
 
 private:
