--- a/libraries/fleet/peer_digests.cpp
+++ b/libraries/fleet/peer_digests.cpp
@@ -8,30 +8,31 @@
 namespace bramleytrack::fleet {
 namespace {
 
-// Peers that are gone for longer are dropped from memory.
-constexpr clock::duration memory{10'000};
-// Digests come each 300 ms from each peer; sums that are a sixth of that older change no choice.
+// Digests of peers that have sent none for longer are discarded.
+constexpr clock::duration retention{10'000};
+// Each peer sends a digest every 300 ms; sums that are older by a sixth of that change no
+// placement.
 constexpr clock::duration summary_lifetime{50};
 
-// Failure: two peers of another zone are heard and stand for forty, and a target with one request
-// of theirs looks full. Few of the requests of one target go through any one instance, so what one
-// tells of it says little of the others.
+// Without this bound, when the digests of two peers represent the forty of another zone, a target
+// with one request of theirs looks full. Few of a target's requests go through any one instance, so
+// the report of one predicts little about the others.
 constexpr double max_load_weight = 2;
 
-// Standard deviations: an estimate is made anew for each opening, so even a rare excess refuses
-// somebody.
-constexpr double deviations_of_doubt = 4;
+// In standard deviations. The estimate is used for each opening, so even a rare overestimate would
+// reject some of them.
+constexpr double open_estimate_margin = 4;
 
-// Services are few, so 32 bits tell them apart in a digest.
+// There are few services, so 32 bits distinguish them in a digest.
 std::int32_t short_hash_of(std::string_view service) {
     return static_cast<std::int32_t>(hash_of(service));
 }
 
 }  // namespace
 
-peer_digests::peer_digests(const discovery::directory& known, std::string self, std::string zone,
-                           std::uint64_t seed, digest_limits limits)
-    : known_{known},
+peer_digests::peer_digests(const discovery::directory& directory, std::string self,
+                           std::string zone, std::uint64_t seed, digest_limits limits)
+    : directory_{directory},
       self_{std::move(self)},
       zone_{std::move(zone)},
       limits_{limits},
@@ -45,51 +46,54 @@
     entry.confirmed = content.confirmed_ms_ago < 0
                           ? clock::time_point{}
                           : now - clock::duration{content.confirmed_ms_ago};
-    store_missed_at_ = content.has_lost_store ? now : store_missed_at_;
+    store_failure_reported_at_ = content.has_lost_store ? now : store_failure_reported_at_;
     entry.content = std::move(content);
     entry.at = now;
     last_received_at_ = now;
 }
 
 void peer_digests::expire(clock::time_point now) {
-    std::erase_if(received_, [now](const auto& each) { return now - each.second.at > memory; });
+    std::erase_if(received_, [now](const auto& each) { return now - each.second.at > retention; });
 }
 
 std::vector<const discovery::peer_entry*> peer_digests::next_receivers() {
     std::vector<const discovery::peer_entry*> result;
-    const auto near = limits_.receivers - std::min(limits_.receivers, limits_.receivers_elsewhere);
-    add_receivers(near_round_, true, near, result);
-    add_receivers(far_round_, false, limits_.receivers - result.size(), result);
-    // A fleet of one zone.
-    add_receivers(near_round_, true, limits_.receivers - result.size(), result);
+    const auto same_zone_count =
+        limits_.receivers - std::min(limits_.receivers, limits_.receivers_in_other_zones);
+    add_receivers(same_zone_round_, true, same_zone_count, result);
+    add_receivers(other_zones_round_, false, limits_.receivers - result.size(), result);
+    // In a fleet of one zone, all receivers are in it.
+    add_receivers(same_zone_round_, true, limits_.receivers - result.size(), result);
     return result;
 }
 
-void peer_digests::add_receivers(std::vector<std::string>& round, bool is_near, std::size_t most,
+void peer_digests::add_receivers(std::vector<std::string>& round, bool is_same_zone,
+                                 std::size_t max_added,
                                  std::vector<const discovery::peer_entry*>& to) {
-    const auto is_in_group = [this, is_near](const auto& each) {
-        return each.first != self_ && (each.second.entry.zone == zone_) == is_near;
+    const auto is_in_group = [this, is_same_zone](const auto& each) {
+        return each.first != self_ && (each.second.entry.zone == zone_) == is_same_zone;
     };
     if (round.empty()) {
-        for (const auto& each : known_.peers()) {
+        for (const auto& each : directory_.peers()) {
             if (is_in_group(each)) {
                 round.push_back(each.first);
             }
         }
         std::ranges::shuffle(round, random_);
     }
-    for (std::size_t added = 0; added < most && !round.empty(); round.pop_back()) {
-        const auto found = known_.peers().find(round.back());
-        const bool is_told = found == known_.peers().end() ||
-                             std::ranges::find(to, &found->second.entry) != to.end();
-        if (!is_told) {
+    for (std::size_t added = 0; added < max_added && !round.empty(); round.pop_back()) {
+        const auto found = directory_.peers().find(round.back());
+        const bool is_skipped = found == directory_.peers().end() ||
+                                std::ranges::find(to, &found->second.entry) != to.end();
+        if (!is_skipped) {
             to.push_back(&found->second.entry);
             ++added;
         }
     }
 }
 
-std::vector<wire::load_report> peer_digests::loads_of(const steering::flow_tracker& flows) const {
+std::vector<wire::load_report> peer_digests::load_reports(
+    const steering::flow_tracker& flows) const {
     std::vector<wire::load_report> result;
     for (const auto& [token, health] : flows.all_target_health()) {
         if (health.open_requests <= 0) {
@@ -106,23 +110,23 @@
     return result;
 }
 
-std::vector<wire::demand_report> peer_digests::demands_of(
+std::vector<wire::demand_report> peer_digests::demand_reports(
     const steering::demand_by_service& demands, const steering::flow_tracker& flows,
     clock::time_point now) const {
     std::map<std::string_view, int> open;
     for (const auto& [token, health] : flows.all_target_health()) {
-        const auto* target = health.open_requests > 0 ? known_.find_target(token) : nullptr;
+        const auto* target = health.open_requests > 0 ? directory_.find_target(token) : nullptr;
         if (target != nullptr) {
             open[target->entry.service] += health.open_requests;
         }
     }
     std::vector<wire::demand_report> result;
     for (const auto& [service, demand] : demands) {
-        const auto asked = static_cast<std::int32_t>(std::lround(demand.recent(now)));
-        if (asked > 0) {
+        const auto recent_demand = static_cast<std::int32_t>(std::lround(demand.recent(now)));
+        if (recent_demand > 0) {
             auto& report = result.emplace_back();
             report.service_hash = short_hash_of(service);
-            report.asked = asked;
+            report.asked = recent_demand;
             report.open = open[service];
         }
     }
@@ -140,8 +144,8 @@
     summary_.until = now + summary_lifetime;
     summary_.loads.clear();
     summary_.services.clear();
-    // In a large fleet only some peers are heard at a time: they stand for the others of their
-    // zone.
+    // In a large fleet only some peers have fresh digests at a time: they represent the others of
+    // their zone.
     const auto weights = weights_by_zone(now);
     for (const auto& [name, entry] : received_) {
         if (!is_fresh(entry, now)) {
@@ -156,9 +160,10 @@
         }
         for (const auto& each : entry.content.demands) {
             auto& sum = summary_.services[each.service_hash];
-            sum.asked += each.asked * weight;
+            sum.demand += each.asked * weight;
             sum.open += each.open * weight;
-            // A sampled Poisson count: its variance is its mean, times what sampling adds.
+            // The variance of a sampled Poisson count is its mean times the factor that sampling
+            // adds.
             sum.open_variance += each.open * weight * (weight - 1);
         }
     }
@@ -166,8 +171,8 @@
 }
 
 std::string_view peer_digests::zone_of(std::string_view peer) const {
-    const auto found = known_.peers().find(peer);
-    return found == known_.peers().end() ? std::string_view{} : found->second.entry.zone;
+    const auto found = directory_.peers().find(peer);
+    return found == directory_.peers().end() ? std::string_view{} : found->second.entry.zone;
 }
 
 std::map<std::string_view, double> peer_digests::weights_by_zone(clock::time_point now) const {
@@ -178,7 +183,7 @@
         }
     }
     std::map<std::string_view, double> weights;
-    for (const auto& [name, peer] : known_.peers()) {
+    for (const auto& [name, peer] : directory_.peers()) {
         if (name != self_) {
             ++weights[peer.entry.zone];
         }
@@ -187,33 +192,33 @@
         const auto found = fresh.find(zone);
         weight = found == fresh.end() ? 1 : std::max(1.0, weight / found->second);
     }
-    weights.try_emplace(std::string_view{}, 1);  // those that aren't known yet
+    weights.try_emplace(std::string_view{}, 1);  // peers that aren't in the directory yet
     return weights;
 }
 
 double peer_digests::open_remote(steering::routing_token token, clock::time_point now) const {
-    const auto& known = summarize(now).loads;
-    const auto found = known.find(token);
-    return found == known.end() ? 0 : found->second;
+    const auto& loads = summarize(now).loads;
+    const auto found = loads.find(token);
+    return found == loads.end() ? 0 : found->second;
 }
 
-peer_digests::service_sum peer_digests::service_elsewhere(std::string_view service,
-                                                          clock::time_point now) const {
-    const auto& known = summarize(now).services;
-    const auto found = known.find(short_hash_of(service));
-    return found == known.end() ? service_sum{} : found->second;
+peer_digests::service_load peer_digests::remote_service_load(std::string_view service,
+                                                             clock::time_point now) const {
+    const auto& services = summarize(now).services;
+    const auto found = services.find(short_hash_of(service));
+    return found == services.end() ? service_load{} : found->second;
 }
 
-// Failure: one instance of a far zone is heard, stands for thirty, and has a few requests of a
-// small service open just then. The service looks full, and callers are refused while its slots are
-// idle. So only what is beyond doubt counts.
+// A digest may represent thirty instances of another zone. If its sender has a few requests of a
+// small service open at that moment, the service looks full, and callers are rejected while its
+// slots are idle. Therefore only the lower confidence bound of the estimate counts.
 double peer_digests::open_remote_of_service(std::string_view service, clock::time_point now) const {
-    const auto told = service_elsewhere(service, now);
-    return std::max(0.0, told.open - deviations_of_doubt * std::sqrt(told.open_variance));
+    const auto load = remote_service_load(service, now);
+    return std::max(0.0, load.open - open_estimate_margin * std::sqrt(load.open_variance));
 }
 
 double peer_digests::demand_remote(std::string_view service, clock::time_point now) const {
-    return service_elsewhere(service, now).asked;
+    return remote_service_load(service, now).demand;
 }
 
 }  // namespace bramleytrack::fleet
--- a/libraries/fleet/peer_digests.h
+++ b/libraries/fleet/peer_digests.h
@@ -1,8 +1,8 @@
-// What peers said of themselves lately: how new their knowledge is, and the load of targets as they
-// see it.
+// The latest digests of peers: how current each peer's state is, and the load that it has on
+// targets.
 //
-// Digests are small and go to a few peers at a time, so their cost doesn't grow with the fleet.
-// What they tell is used only while it is fresh.
+// Digests are small and are sent to a few peers at a time, so their cost doesn't grow with the
+// fleet. Their content is used only while it is fresh.
 #pragma once
 
 #include <map>
@@ -20,31 +20,34 @@
 namespace bramleytrack::fleet {
 
 struct digest_limits {
-    // Three digests in a row are missed before a peer's word is left aside.
+    // A peer's last digest expires after the next three in a row were missed.
     clock::duration freshness{1'200};
-    // Receivers at a time: eight are all peers of today's fleets. With at most 185 bytes each 300
-    // ms they cost the sender 4.9 KB a second, and an instance has 5 for control at any size.
+    // Receivers of one digest. Eight are all peers in current fleets. With at most 185 bytes every
+    // 300 ms they cost the sender 4.9 KB/s, and the budget of an instance for control traffic is
+    // 5 KB/s whatever the size of the fleet.
     std::size_t receivers = 8;
-    // Of these, in other availability zones, as long as the own zone has enough peers for the rest.
-    // Callers' flows and their targets are of one zone as a rule, so what one instance sees helps
-    // those of its zone most; news of the store needs two ways out of it.
-    std::size_t receivers_elsewhere = 2;
-    // Loads in one digest; the most loaded first.
+    // How many of the receivers are in other availability zones, provided that this instance's zone
+    // has enough peers for the rest. Callers' flows and their targets are usually in one zone, so
+    // most of a digest matters to peers in the same zone; updates of the store need two paths out
+    // of it.
+    std::size_t receivers_in_other_zones = 2;
+    // Targets in one digest; the most loaded first.
     std::size_t max_loads = 10;
-    // Services in one digest; those that most is asked of first.
+    // Services in one digest; those with the most demand first.
     std::size_t max_demands = 3;
 };
 
 struct received_digest {
     wire::digest content;
     clock::time_point at;
-    clock::time_point confirmed;  // on this instance's clock; the epoch when never
+    // When the peer's state was last confirmed, on this instance's clock; the epoch if never.
+    clock::time_point confirmed;
 };
 
 class peer_digests final : public steering::remote_load {
 public:
-    // `zone` is this instance's.
-    peer_digests(const discovery::directory& known, std::string self, std::string zone,
+    // `zone` is the zone of this instance.
+    peer_digests(const discovery::directory& directory, std::string self, std::string zone,
                  std::uint64_t seed, digest_limits limits = {});
 
     void on_digest(std::string_view sender, wire::digest content, clock::time_point now);
@@ -56,63 +59,64 @@
     const std::map<std::string, received_digest, std::less<>>& received() const {
         return received_;
     }
-    // When any peer was last heard.
+    // When the last digest of any peer arrived.
     clock::time_point last_received_at() const { return last_received_at_; }
-    // When a peer last said that the store didn't answer it.
-    clock::time_point store_failure_reported_at() const { return store_missed_at_; }
+    // When a peer last reported that the store didn't answer it.
+    clock::time_point store_failure_reported_at() const { return store_failure_reported_at_; }
 
-    // Whom the next digest goes to: peers of the own zone and of others, each group in a random
-    // order, all of it before one comes again.
+    // The receivers of the next digest: peers in the same zone and in others. Each group is used in
+    // a random order, and completely before a peer is selected again.
     std::vector<const discovery::peer_entry*> next_receivers();
 
-    // The loads to tell: what this instance's packets show.
-    std::vector<wire::load_report> loads_of(const steering::flow_tracker& flows) const;
+    // The open requests per target for a digest, as this instance's flows show them.
+    std::vector<wire::load_report> load_reports(const steering::flow_tracker& flows) const;
 
-    std::vector<wire::demand_report> demands_of(const steering::demand_by_service& demands,
-                                                const steering::flow_tracker& flows,
-                                                clock::time_point now) const;
+    // The demand and the open requests per service for a digest.
+    std::vector<wire::demand_report> demand_reports(const steering::demand_by_service& demands,
+                                                    const steering::flow_tracker& flows,
+                                                    clock::time_point now) const;
 
     double open_remote(steering::routing_token token, clock::time_point now) const override;
     double open_remote_of_service(std::string_view service, clock::time_point now) const override;
     double demand_remote(std::string_view service, clock::time_point now) const override;
 
 private:
-    // One service, over the instances that the fresh digests stand for.
-    struct service_sum {
-        double asked = 0;
+    // The load of one service through all instances that the fresh digests represent.
+    struct service_load {
+        double demand = 0;
         double open = 0;
-        double open_variance = 0;  // of what is open, as few instances stand for many
+        double open_variance = 0;  // of the estimate `open`, since few digests represent many
     };
 
-    // What fresh digests say together.
+    // The sums over all fresh digests.
     struct summary {
         std::unordered_map<steering::routing_token, double> loads;
-        std::unordered_map<std::int32_t, service_sum> services;  // by the hash of the name
+        std::unordered_map<std::int32_t, service_load> services;  // by the hash of the name
         clock::time_point until;
     };
 
-    // An opening looks up many targets of a service, so the sums are kept for a moment instead of
-    // being made anew for each.
+    // The placement of an opening looks up many targets of a service, so the sums are cached for a
+    // short time instead of being recomputed for each.
     const summary& summarize(clock::time_point now) const;
-    service_sum service_elsewhere(std::string_view service, clock::time_point now) const;
-    // For how many instances a fresh digest from each zone stands.
+    service_load remote_service_load(std::string_view service, clock::time_point now) const;
+    // The number of instances that a fresh digest represents, per zone.
     std::map<std::string_view, double> weights_by_zone(clock::time_point now) const;
     std::string_view zone_of(std::string_view peer) const;
-    // Takes up to `most` receivers from those that are still to come in a round of the group.
-    void add_receivers(std::vector<std::string>& round, bool is_near, std::size_t most,
+    // Moves up to `max_added` receivers from the rest of the group's current round to `to`.
+    void add_receivers(std::vector<std::string>& round, bool is_same_zone, std::size_t max_added,
                        std::vector<const discovery::peer_entry*>& to);
 
-    const discovery::directory& known_;
+    const discovery::directory& directory_;
     std::string self_;
     std::string zone_;
     digest_limits limits_;
     std::minstd_rand random_;
     std::map<std::string, received_digest, std::less<>> received_;  // by the sender's name
     clock::time_point last_received_at_;
-    clock::time_point store_missed_at_;
-    // Receivers still to come in this round.
-    std::vector<std::string> near_round_;
-    std::vector<std::string> far_round_;
+    clock::time_point store_failure_reported_at_;
+    // Receivers that weren't selected yet in the current round.
+    std::vector<std::string> same_zone_round_;
+    std::vector<std::string> other_zones_round_;
     mutable summary summary_;
 };
 
--- a/libraries/fleet/startup_recovery.h
+++ b/libraries/fleet/startup_recovery.h
@@ -1,9 +1,10 @@
-// Whom an instance asks after its start which keys have ended lately.
+// Selects the peers that an instance queries after its start for recently removed keys.
 //
-// Failure: entries of live targets are taken away, by a lapse or because their heartbeats were
-// lost, and the targets' open flows go on by their tokens. An instance that starts then reads a
-// list without those targets and drops their packets: with half of all writes lost during a rolling
-// restart, 32 requests of 13,600 waited for their deadlines. Its peers remember the targets.
+// Entries of live targets can be removed, by an expired lease or because their heartbeats were
+// lost, while the targets' open flows continue by their tokens. An instance that starts then reads
+// a list without those targets and drops their packets: with half of all writes lost during a
+// rolling restart, 32 of 13,600 requests waited for their deadlines. Its peers still hold the
+// entries.
 #pragma once
 
 #include <cstddef>
@@ -17,28 +18,28 @@
 namespace bramleytrack::fleet {
 
 struct startup_recovery_limits {
-    // One peer may have started just now itself, another be gone.
-    std::size_t peers_to_ask = 3;
+    // One peer may have just started itself, and another may be gone.
+    std::size_t max_peers = 3;
 };
 
 class startup_recovery {
 public:
-    startup_recovery(const discovery::directory& known, std::string self,
+    startup_recovery(const discovery::directory& directory, std::string self,
                      startup_recovery_limits limits = {})
-        : known_{known}, self_{std::move(self)}, limits_{limits} {}
+        : directory_{directory}, self_{std::move(self)}, limits_{limits} {}
 
-    // The peer to ask next; nothing while one is being asked, and when enough have been. Called
-    // once everything was read.
-    std::optional<pull> next();
-    // The one that was asked has answered, or hasn't within its limit.
-    void on_answer() { is_asking_ = false; }
+    // The next peer to query; nothing while a query is pending, and after `max_peers` queries. To
+    // be called once the initial state is complete.
+    std::optional<pull_source> next_peer();
+    // The queried peer has answered, or its query has timed out.
+    void on_query_done() { is_query_pending_ = false; }
 
 private:
-    const discovery::directory& known_;
+    const discovery::directory& directory_;
     std::string self_;
     startup_recovery_limits limits_;
-    std::set<std::string, std::less<>> asked_;
-    bool is_asking_ = false;
+    std::set<std::string, std::less<>> queried_;
+    bool is_query_pending_ = false;
 };
 
 }  // namespace bramleytrack::fleet
--- a/services/bramleybench/overload_fleet.cpp
+++ b/services/bramleybench/overload_fleet.cpp
@@ -98,10 +98,10 @@
 
 wire::digest overload_fleet::digest_of(const instance& subject, clock::time_point now) const {
     wire::digest result;
-    result.loads = subject.digests->loads_of(subject.core->flows());
+    result.loads = subject.digests->load_reports(subject.core->flows());
     if (choice_.shares_demands) {
         result.demands =
-            subject.digests->demands_of(subject.core->demands(), subject.core->flows(), now);
+            subject.digests->demand_reports(subject.core->demands(), subject.core->flows(), now);
     }
     return result;
 }
--- a/services/bramleyd/peer_exchange.cpp
+++ b/services/bramleyd/peer_exchange.cpp
@@ -82,8 +82,8 @@
     content.confirmed_ms_ago = age_in_milliseconds(facts.confirmed, now);
     content.has_lost_store = facts.has_lost_store;
     content.is_stopping = facts.is_stopping;
-    content.loads = digests_.loads_of(core.flows());
-    content.demands = digests_.demands_of(core.demands(), core.flows(), now);
+    content.loads = digests_.load_reports(core.flows());
+    content.demands = digests_.demand_reports(core.demands(), core.flows(), now);
     if (inquiries_ != nullptr) {
         for (const auto& each : inquiries_->take_verdicts(now)) {
             auto& report = content.dead.emplace_back();
@@ -226,7 +226,7 @@
     return wire::encode_store_changes(answer, key_);
 }
 
-void peer_exchange::ask_for_ended(const fleet::pull& from, ended_callback done) {
+void peer_exchange::ask_for_ended(const fleet::pull_source& from, ended_callback done) {
     http_.get("http://" + from.address + std::string{ended_path}, pull_limit,
               [this, peer = from.peer, done = std::move(done)](const net::http_result& answer) {
                   on_ended(peer, answer, done);
@@ -256,7 +256,7 @@
     done(told, now);
 }
 
-void peer_exchange::fetch(const fleet::pull& from, clock::time_point now) {
+void peer_exchange::fetch(const fleet::pull_source& from, clock::time_point now) {
     if (is_pulling_ || now < next_pull_) {
         return;
     }
--- a/services/bramleyd/peer_exchange.h
+++ b/services/bramleyd/peer_exchange.h
@@ -73,11 +73,11 @@
     // Sends a digest when one is due, or at once when the revision has risen or a target died.
     void tick(const digest_facts& facts, const steering::steering& core, clock::time_point now);
     // Fetches from a peer unless a pull is under way.
-    void fetch(const fleet::pull& from, clock::time_point now);
+    void fetch(const fleet::pull_source& from, clock::time_point now);
     // Asks a peer which keys have ended lately; `done` is called in any case.
     using ended_callback =
         std::function<void(std::span<const store::removed_item> told, clock::time_point now)>;
-    void ask_for_ended(const fleet::pull& from, ended_callback done);
+    void ask_for_ended(const fleet::pull_source& from, ended_callback done);
     // Asks one of the seeds, for a start while the store is away.
     void fetch_from_seed(clock::time_point now);
 
--- a/services/bramleyd/steering_daemon.cpp
+++ b/services/bramleyd/steering_daemon.cpp
@@ -217,13 +217,13 @@
 }
 
 void steering_daemon::ask_what_ended() {
-    const auto peer = startup_recovery_.next();
+    const auto peer = startup_recovery_.next_peer();
     if (!peer) {
         return;
     }
     exchange_.ask_for_ended(
         *peer, [this](std::span<const store::removed_item> told, clock::time_point now) {
-            startup_recovery_.on_answer();
+            startup_recovery_.on_query_done();
             // Only targets have flows that go on; peers and zones that went are gone.
             std::vector<store::removed_item> targets;
             std::ranges::copy_if(told, std::back_inserter(targets), [this](const auto& each) {
@@ -238,7 +238,7 @@
     const auto changed = changes.is_whole ? mirror_.replace(changes.items, changes.revision)
                                           : mirror_.apply(changes.events);
     mirror_.advance(changes.revision);
-    update_source_.note_pulled(changes.confirmed);
+    update_source_.on_pull_applied(changes.confirmed);
     on_store_change(changed, now);
 }
 
--- a/tests/support/steering_session.cpp
+++ b/tests/support/steering_session.cpp
@@ -208,7 +208,7 @@
 void steering_session::exchange_digests(const words& /*arguments*/) {
     for (const auto& from : nodes_) {
         wire::digest content;
-        content.loads = from->digests.loads_of(from->subject.flows());
+        content.loads = from->digests.load_reports(from->subject.flows());
         const auto dead = from->inquiries.take_verdicts(now_);
         for (const auto& to : nodes_) {
             to->digests.on_digest(from->name, content, now_);
