--- a/services/bramleyd/peer_exchange.cpp
+++ b/services/bramleyd/peer_exchange.cpp
@@ -72,7 +72,7 @@
 void peer_exchange::tick(const digest_state& state, const steering::steering& core,
                          clock::time_point now) {
     const bool is_urgent = state.known_revision > last_sent_state_.known_revision ||
-                           (failure_detector_ && failure_detector_->has_news());
+                           (failure_detector_ && failure_detector_->has_unsent_verdicts());
     if (now < next_digest_ && !is_urgent) {
         return;
     }
@@ -83,8 +83,8 @@
     digest.confirmed_ms_ago = milliseconds_since(state.confirmed_at, now);
     digest.has_lost_store = state.has_lost_store;
     digest.is_stopping = state.is_stopping;
-    digest.loads = digests_.loads_of(core.flows());
-    digest.demands = digests_.demands_of(core.demands(), core.flows(), now);
+    digest.loads = digests_.load_reports(core.flows());
+    digest.demands = digests_.demand_reports(core.demands(), core.flows(), now);
     if (failure_detector_ != nullptr) {
         for (const auto& each : failure_detector_->take_verdicts(now)) {
             auto& report = digest.dead.emplace_back();
@@ -231,7 +231,7 @@
     return wire::encode_store_changes(response, key_);
 }
 
-void peer_exchange::request_removed_items(const fleet::pull& from, removed_items_callback done) {
+void peer_exchange::request_removed_items(const fleet::pull_source& from, removed_items_callback done) {
     http_client_.get(
         "http://" + from.address + std::string{removed_items_path}, pull_timeout,
         [this, peer = from.peer, done = std::move(done)](const net::http_result& response) {
@@ -262,7 +262,7 @@
     done(removed, now);
 }
 
-void peer_exchange::fetch(const fleet::pull& from, clock::time_point now) {
+void peer_exchange::fetch(const fleet::pull_source& from, clock::time_point now) {
     if (is_pulling_ || now < next_pull_) {
         return;
     }
--- a/services/bramleyd/peer_exchange.h
+++ b/services/bramleyd/peer_exchange.h
@@ -85,12 +85,12 @@
     // on a dead target.
     void tick(const digest_state& state, const steering::steering& core, clock::time_point now);
     // Pulls store changes from a peer unless a pull is in progress.
-    void fetch(const fleet::pull& from, clock::time_point now);
+    void fetch(const fleet::pull_source& from, clock::time_point now);
     // Requests the keys that were removed recently from a peer. `done` is always called, with no
     // items if the request failed.
     using removed_items_callback =
         std::function<void(std::span<const store::removed_item> removed, clock::time_point now)>;
-    void request_removed_items(const fleet::pull& from, removed_items_callback done);
+    void request_removed_items(const fleet::pull_source& from, removed_items_callback done);
     // Pulls from one of the configured seeds, so that an instance can start during a store outage.
     void fetch_from_seed(clock::time_point now);
 
--- a/services/bramleyd/steering_daemon.cpp
+++ b/services/bramleyd/steering_daemon.cpp
@@ -219,13 +219,13 @@
 }
 
 void steering_daemon::recover_removed_items() {
-    const auto peer = startup_recovery_.next();
+    const auto peer = startup_recovery_.next_peer();
     if (!peer) {
         return;
     }
     peer_exchange_.request_removed_items(
         *peer, [this](std::span<const store::removed_item> removed, clock::time_point now) {
-            startup_recovery_.on_answer();
+            startup_recovery_.on_query_done();
             // Only targets can have open flows that outlive their entry. Removed peers and zones
             // are not recovered.
             std::vector<store::removed_item> targets;
@@ -242,7 +242,7 @@
     const auto events = result.is_whole ? mirror_.replace(result.items, result.revision)
                                         : mirror_.apply(result.events);
     mirror_.advance(result.revision);
-    update_source_.note_pulled(result.confirmed_at);
+    update_source_.on_pull_applied(result.confirmed_at);
     on_store_change(events, now);
 }
 
--- a/services/bramleyd/target_checks.cpp
+++ b/services/bramleyd/target_checks.cpp
@@ -39,11 +39,11 @@
       probes_{loop} {
     peer_exchange_.on_probe_request(
         [this](std::string_view peer, discovery::routing_token token, clock::time_point now) {
-            failure_detector_.on_probe_request(peer, token, now);
+            failure_detector_.on_indirect_probe_request(peer, token, now);
         });
     peer_exchange_.on_probe_result([this](std::string_view peer, discovery::routing_token token,
                                           bool is_reachable, clock::time_point now) {
-        failure_detector_.on_answer(peer, token, is_reachable, now);
+        failure_detector_.on_indirect_probe_result(peer, token, is_reachable, now);
     });
     peer_exchange_.on_dead_targets(
         [this](std::string_view peer, std::span<const wire::dead_target_report> reports,
@@ -58,7 +58,7 @@
 }
 
 void target_checks::on_entry(std::string_view target_id) {
-    failure_detector_.on_entry(discovery::token_of(target_id));
+    failure_detector_.on_store_update(discovery::token_of(target_id));
 }
 
 void target_checks::on_dead_targets(std::string_view peer,
@@ -76,15 +76,15 @@
     ++probes_started_;
     probes_.begin(to_socket_address(target.entry.address), probe_timeout,
                   [this, token = target.token](bool is_reachable) {
-                      failure_detector_.on_probe(token, is_reachable, clock::now());
+                      failure_detector_.on_probe_result(token, is_reachable, clock::now());
                   });
 }
 
-void target_checks::ask(const discovery::peer_entry& peer, discovery::routing_token token) {
+void target_checks::request_indirect_probe(const discovery::peer_entry& peer, discovery::routing_token token) {
     peer_exchange_.send_probe_request(peer, token);
 }
 
-void target_checks::answer(const discovery::peer_entry& peer, discovery::routing_token token,
+void target_checks::send_indirect_probe_result(const discovery::peer_entry& peer, discovery::routing_token token,
                            bool is_reachable) {
     peer_exchange_.send_probe_result(peer, token, is_reachable);
 }
