--- a/libraries/steering/decision.h
+++ b/libraries/steering/decision.h
@@ -1,4 +1,4 @@
-// What is decided about a packet, and how far the instance trusted what it knew.
+// The decision about a packet, and how complete and current the directory was when it was made.
 #pragma once
 
 #include <string_view>
@@ -15,26 +15,27 @@
     const discovery::target* to = nullptr;
 };
 
-// The caller learns at once that this flow leads nowhere.
+// Sends a reset, so that the caller fails at once instead of waiting for its deadline.
 struct refuse {
     reset answer;
     result_code reason = result_code::ok;
 };
 
-// Nothing is said: the caller sends again, and another instance or a moment later may know more.
+// Drops the packet silently. The caller retransmits it, and by then this instance or another one
+// may have a newer view of the directory.
 struct drop {
     result_code reason = result_code::ok;
 };
 
 using decision = std::variant<forward, refuse, drop>;
 
-// How far the instance trusts what it knows when a packet arrives.
+// How complete and current the directory is when a packet arrives.
 struct directory_state {
-    bool is_complete = false;     // the store, or a peer, has told everything once
-    clock::time_point confirmed;  // what the directory holds was true then
+    bool is_complete = false;     // received in full from the store or a peer
+    clock::time_point confirmed;  // when its contents were last confirmed to be current
 };
 
-// ok for a packet that is forwarded.
-result_code reason_of(const decision& made);
+// Returns ok for a packet that is forwarded.
+result_code reason_of(const decision& outcome);
 
 }  // namespace bramleytrack::steering
--- a/libraries/steering/segment.h
+++ b/libraries/steering/segment.h
@@ -1,4 +1,4 @@
-// The header of one packet of a flow, decoded; the data that it carries stays with the two ends.
+// The decoded header of one packet of a flow. The payload is never inspected.
 #pragma once
 
 #include <compare>
@@ -35,23 +35,23 @@
 
 struct segment {
     flow_key flow;
-    routing_token token = 0;         // what the target's last packet carried; 0 on an opening
-    std::uint32_t sequence = 0;      // of the first byte of data
-    std::uint32_t acknowledged = 0;  // bytes of the target that the caller has
-    std::uint32_t copy = 0;          // of an opening packet: 0 is the first
-    std::uint16_t length = 0;        // of the data
+    routing_token token = 0;         // from the target's last packet; 0 on an opening
+    std::uint32_t sequence = 0;      // of the first byte of the payload
+    std::uint32_t acknowledged = 0;  // the target's bytes that the caller has received
+    std::uint32_t copy = 0;    // of an opening packet: 0 is the original, then its retransmissions
+    std::uint16_t length = 0;  // of the payload
     bool is_opening = false;
     bool is_closing = false;
     bool is_reset = false;
 };
 
-// A reset of our own, to the caller.
+// A reset that this instance sends to the caller.
 struct reset {
     flow_key flow;
     std::uint32_t sequence = 0;
 };
 
-// Between datagrams and segments. Implemented by the adapter to the platform.
+// Converts between datagrams and segments. Implemented by the platform adapter.
 class segment_codec {
 public:
     segment_codec() = default;
@@ -61,14 +61,14 @@
 
     virtual std::variant<segment, result_code> decode(
         std::span<const std::uint8_t> datagram) const = 0;
-    // The datagram for a target: addressed to it alone, with its token. Written into `buffer`;
-    // returns the part that is used.
+    // Encodes the datagram for a target, addressed to that target alone and carrying its token.
+    // Writes into `buffer` and returns the part that is used.
     virtual std::span<const std::uint8_t> encode_forward(std::span<const std::uint8_t> datagram,
                                                          const discovery::target& to,
                                                          std::span<std::uint8_t> buffer) const = 0;
-    virtual std::span<const std::uint8_t> encode_reset(const reset& wanted,
+    virtual std::span<const std::uint8_t> encode_reset(const reset& content,
                                                        std::span<std::uint8_t> buffer) const = 0;
-    // What encode_forward adds at the most.
+    // The maximum number of bytes that encode_forward adds.
     virtual std::size_t overhead() const = 0;
 };
 
