--- a/libraries/steering/decision_log.h
+++ b/libraries/steering/decision_log.h
@@ -1,7 +1,7 @@
-// The log lines of decisions about packets: what was decided, by which inputs, and how old those
-// were.
+// Writes the log lines of decisions about packets: the decision, its inputs and their age.
 //
-// Whoever looks for the cause of a failed request has only these lines, see docs/OPERATIONS.md.
+// These lines are the only record from which the cause of a failed request can be found, see
+// docs/OPERATIONS.md.
 #pragma once
 
 #include <string>
@@ -17,47 +17,47 @@
 
 namespace bramleytrack::steering {
 
-// What an opening packet was decided by.
-struct opening_facts {
-    const segment& content;
+// The decision about an opening packet and its inputs.
+struct opening_log_entry {
+    const segment& packet;
     const directory_state& state;
     std::string_view service;                 // "none" without a route
-    const discovery::route* route = nullptr;  // nothing when none is known
-    const decision& made;
-    std::size_t candidates = 0;  // targets that could have taken the flow
-    double capacity_share = 1;   // less than 1 for a route or caller that yields to others
-    const service_usage& use;
+    const discovery::route* route = nullptr;  // null without a route
+    const decision& outcome;
+    std::size_t candidates = 0;  // targets that were eligible for the flow
+    double capacity_share = 1;   // below 1 for a lower-priority route or a heavy caller
+    const service_usage& usage;
 };
 
 class decision_log {
 public:
-    // `zone` is this instance's.
-    decision_log(event_log& log, const discovery::directory& known, const flow_tracker& flows,
+    // `zone` is this instance's zone.
+    decision_log(event_log& log, const discovery::directory& directory, const flow_tracker& flows,
                  std::string zone)
-        : log_{log}, known_{known}, flows_{flows}, zone_{std::move(zone)} {}
-
-    void opening(const opening_facts& facts, clock::time_point now);
-    // Sums up the openings that were turned away and had no line, once a second.
-    void report(clock::time_point now) { left_out_.report(log_, zone_, now); }
-    // A later packet that wasn't forwarded.
-    void packet(const segment& content, const decision& made, clock::time_point now);
-    // All flows of a target are ended, since it has died or can't be reached.
+        : log_{log}, directory_{directory}, flows_{flows}, zone_{std::move(zone)} {}
+
+    void opening(const opening_log_entry& entry, clock::time_point now);
+    // Writes a summary of the rejected openings that got no line of their own, once a second.
+    void report_rejections(clock::time_point now) { unlogged_rejections_.report(log_, zone_, now); }
+    // A packet of an established flow that was not forwarded.
+    void undelivered_packet(const segment& packet, const decision& outcome, clock::time_point now);
+    // All flows of a target were ended because it has died or is unreachable.
     void target_dead(const discovery::target& target, const target_health& health,
                      std::size_t flows, clock::time_point now);
-    // One of them, which sent nothing just now.
+    // One of those flows, ended without a packet of its own.
     void flow_ended(const flow_key& flow, const discovery::target& target, clock::time_point now);
-    // A copy of an opening packet came: the target that was chosen before hasn't answered.
-    void unanswered(const segment& content, clock::time_point now);
-    // Nothing is written for an answer that met its objective.
-    void answer(const segment& content, const discovery::target& target, clock::duration objective,
-                clock::duration took, clock::time_point now);
+    // An opening packet was retransmitted: the target that was chosen before has not responded.
+    void unanswered_opening(const segment& packet, clock::time_point now);
+    // Writes nothing if the response met its latency objective.
+    void late_answer(const segment& packet, const discovery::target& target,
+                     clock::duration objective, clock::duration latency, clock::time_point now);
 
 private:
     event_log& log_;
-    const discovery::directory& known_;
+    const discovery::directory& directory_;
     const flow_tracker& flows_;
     std::string zone_;
-    rejection_summary left_out_;
+    rejection_summary unlogged_rejections_;
 };
 
 }  // namespace bramleytrack::steering
--- a/libraries/steering/flow_tracker.cpp
+++ b/libraries/steering/flow_tracker.cpp
@@ -6,10 +6,10 @@
 namespace {
 
 constexpr clock::duration expiry_interval{500};
-// A moving average over about eight answers follows a target that turns slow within a second.
-constexpr double answer_weight = 0.125;
-constexpr int max_shun_doublings = 2;
-constexpr int repeats_of_silence = 2;
+// A moving average over about eight responses follows a target that becomes slow within a second.
+constexpr double response_time_weight = 0.125;
+constexpr int max_ejection_doublings = 2;
+constexpr int min_repeats_of_silent_flow = 2;
 
 // Serial number arithmetic (RFC 1982): sequence numbers wrap around.
 bool is_after(std::uint32_t left, std::uint32_t right) {
@@ -28,31 +28,31 @@
     const auto* flow = find(copy.flow);
     const bool is_same = flow != nullptr && !flow->is_established && flow->token != 0 &&
                          flow->opening_sequence == copy.sequence;
-    const bool is_early = is_same && now - flow->opened_at < limits_.least_copy_interval;
-    return is_early ? std::optional{flow->token} : std::nullopt;
+    const bool is_too_early = is_same && now - flow->opened_at < limits_.min_copy_interval;
+    return is_too_early ? std::optional{flow->token} : std::nullopt;
 }
 
-std::optional<routing_token> flow_tracker::note_unanswered(const flow_key& key,
-                                                           clock::time_point now) {
+std::optional<routing_token> flow_tracker::record_unanswered_opening(const flow_key& key,
+                                                                     clock::time_point now) {
     const auto found = flows_.find(key);
     if (found == flows_.end() || found->second.is_established ||
-        now - found->second.opened_at < limits_.least_copy_interval) {
+        now - found->second.opened_at < limits_.min_copy_interval) {
         return std::nullopt;
     }
     auto& health = health_[found->second.token];
-    // A target that answered others meanwhile lost one packet, no more.
-    if (health.answered_at > found->second.opened_at) {
+    // The target has responded to other flows since, so a single packet was lost.
+    if (health.last_response_at > found->second.opened_at) {
         return std::nullopt;
     }
-    const int doublings = std::min(health.unanswered, max_shun_doublings);
-    ++health.unanswered;
+    const int doublings = std::min(health.unanswered_openings, max_ejection_doublings);
+    ++health.unanswered_openings;
     health.ejected_until =
         now + std::min(limits_.max_ejection_time, limits_.ejection_time * (1 << doublings));
     return found->second.token;
 }
 
-void flow_tracker::note_opening(const segment& opening, routing_token token,
-                                clock::time_point now) {
+void flow_tracker::record_opening(const segment& opening, routing_token token,
+                                  clock::time_point now) {
     const auto found = flows_.find(opening.flow);
     if (found == flows_.end() && flows_.size() >= limits_.max_flows) {
         return;
@@ -67,7 +67,7 @@
             .acknowledged = 0,
             .opened_at = now,
             .request_at = {},
-            .seen_at = now,
+            .last_packet_at = now,
             .is_established = false,
             .has_open_request = false,
             .is_request_sent = false};
@@ -75,63 +75,64 @@
     ++health.flows;
     health.opened_at = now;
     begin_request(opening.flow, flow);
-    openings_.emplace_back(opening.flow, now);
-    fresh_openings_.emplace_back(opening.flow, now);
+    openings_awaiting_request_.emplace_back(opening.flow, now);
+    openings_awaiting_response_.emplace_back(opening.flow, now);
 }
 
 std::vector<routing_token> flow_tracker::take_abandoned_openings(clock::time_point now) {
     std::vector<routing_token> result;
-    while (!fresh_openings_.empty() &&
-           now - fresh_openings_.front().second >= limits_.opening_answered_within) {
-        const auto& [key, opened_at] = fresh_openings_.front();
+    while (!openings_awaiting_response_.empty() &&
+           now - openings_awaiting_response_.front().second >= limits_.opening_response_timeout) {
+        const auto& [key, opened_at] = openings_awaiting_response_.front();
         const auto* flow = find(key);
-        const bool is_unfollowed =
+        const bool is_abandoned =
             flow != nullptr && !flow->is_established && flow->opened_at == opened_at;
-        if (is_unfollowed && health(flow->token).answered_at <= opened_at) {
+        if (is_abandoned && health(flow->token).last_response_at <= opened_at) {
             result.push_back(flow->token);
         }
-        fresh_openings_.pop_front();
+        openings_awaiting_response_.pop_front();
     }
     return result;
 }
 
-observation flow_tracker::note_packet(const segment& content, clock::time_point now) {
+observation flow_tracker::record_packet(const segment& packet, clock::time_point now) {
     observation result;
-    const bool is_end = content.is_reset || content.is_closing;
-    auto* known = find_or_adopt(content, is_end, now);
-    if (known == nullptr) {
+    const bool is_end = packet.is_reset || packet.is_closing;
+    auto* record = find_or_create(packet, is_end, now);
+    if (record == nullptr) {
         return result;
     }
-    auto& flow = *known;
-    flow.seen_at = now;
+    auto& flow = *record;
+    flow.last_packet_at = now;
     if (!flow.is_established) {
         flow.is_established = true;
-        flow.acknowledged = content.acknowledged;
-        flow.next_sequence = content.sequence;
-        result.is_answer_to_opening = true;
-        result.opening_took = now - flow.opened_at;
-        note_response(health_[flow.token], now);
+        flow.acknowledged = packet.acknowledged;
+        flow.next_sequence = packet.sequence;
+        result.is_opening_answered = true;
+        result.opening_response_time = now - flow.opened_at;
+        record_response(health_[flow.token], now);
     }
-    if (content.length > 0) {
-        note_data(flow, content, result, now);
+    if (packet.length > 0) {
+        record_data(flow, packet, result, now);
     } else if (!is_end) {
-        note_acknowledgement(flow, content, result, now);
+        record_acknowledgement(flow, packet, result, now);
     }
-    if (is_after(content.acknowledged, flow.acknowledged)) {
-        flow.acknowledged = content.acknowledged;
+    if (is_after(packet.acknowledged, flow.acknowledged)) {
+        flow.acknowledged = packet.acknowledged;
     }
     if (is_end) {
-        release(content.flow, flow);
-        flows_.erase(content.flow);
+        release(packet.flow, flow);
+        flows_.erase(packet.flow);
     }
     return result;
 }
 
-// The record of the packet's flow; nothing when there is none and none is worth making.
-flow_state* flow_tracker::find_or_adopt(const segment& content, bool is_end,
-                                        clock::time_point now) {
-    auto found = flows_.find(content.flow);
-    if (found != flows_.end() && found->second.token == content.token) {
+// Returns the record of the packet's flow. Creates one unless the packet ends the flow or the table
+// is full.
+flow_state* flow_tracker::find_or_create(const segment& packet, bool is_end,
+                                         clock::time_point now) {
+    auto found = flows_.find(packet.flow);
+    if (found != flows_.end() && found->second.token == packet.token) {
         return &found->second;
     }
     if (found == flows_.end()) {
@@ -139,84 +140,87 @@
             return nullptr;
         }
         // The flow was opened through another instance.
-        found = flows_.emplace(content.flow, flow_state{}).first;
+        found = flows_.emplace(packet.flow, flow_state{}).first;
         found->second.opened_at = now;
-        found->second.acknowledged = content.acknowledged;
-        found->second.next_sequence = content.sequence;
+        found->second.acknowledged = packet.acknowledged;
+        found->second.next_sequence = packet.sequence;
     } else {
-        release(content.flow, found->second);
+        release(packet.flow, found->second);
     }
     auto& flow = found->second;
-    flow.token = content.token;
+    flow.token = packet.token;
     flow.is_established = true;
     ++health_[flow.token].flows;
     return &flow;
 }
 
-void flow_tracker::note_data(flow_state& flow, const segment& content, observation& result,
-                             clock::time_point now) {
-    const auto end = content.sequence + content.length;
+void flow_tracker::record_data(flow_state& flow, const segment& packet, observation& result,
+                               clock::time_point now) {
+    const auto end = packet.sequence + packet.length;
     if (!is_after(end, flow.next_sequence)) {
-        note_repeat(flow, result, now);
+        record_repeat(flow, result, now);
         return;
     }
     flow.next_sequence = end;
     flow.repeats = 0;
-    flow.counts_as_silent = false;
-    // What acknowledges more than before is the next request, though the answer to the one before
-    // was acknowledged through another instance. Other data belongs to the request that is open.
-    const bool is_next = is_after(content.acknowledged, flow.acknowledged);
+    flow.is_counted_as_silent = false;
+    // Data that acknowledges more than before begins the next request, even if the previous
+    // response was acknowledged through another instance. Other data belongs to the open request.
+    const bool is_next = is_after(packet.acknowledged, flow.acknowledged);
     if (flow.is_request_sent && !is_next) {
         return;
     }
-    // The opening counted as the request that follows it.
+    // The first request is already counted by the flow's opening.
     result.is_request_begun = !flow.has_open_request;
-    begin_request(content.flow, flow);
+    begin_request(packet.flow, flow);
     flow.is_request_sent = true;
     flow.request_at = now;
 }
 
-void flow_tracker::note_repeat(flow_state& flow, observation& result, clock::time_point now) {
+void flow_tracker::record_repeat(flow_state& flow, observation& result, clock::time_point now) {
     auto& health = health_[flow.token];
     ++flow.repeats;
     result.repeats = flow.repeats;
-    const bool has_shown_life = health.answered_at > flow.request_at;
+    const bool has_responded = health.last_response_at > flow.request_at;
     const auto waited = now - flow.request_at;
-    result.is_target_suspect = !has_shown_life && waited >= limits_.least_copy_interval;
+    result.is_target_suspect = !has_responded && waited >= limits_.min_copy_interval;
     result.is_target_dead = result.is_target_suspect && now < health.dead_until;
-    if (flow.repeats < repeats_of_silence || has_shown_life || waited < limits_.least_silence) {
+    if (flow.repeats < min_repeats_of_silent_flow || has_responded ||
+        waited < limits_.min_silence) {
         return;
     }
-    health.silent_flows += flow.counts_as_silent ? 0 : 1;
-    flow.counts_as_silent = true;
+    health.silent_flows += flow.is_counted_as_silent ? 0 : 1;
+    flow.is_counted_as_silent = true;
     result.is_target_silent =
         health.silent_flows >= limits_.min_silent_flows && path_.is_sound(now);
     result.is_target_dead =
         result.is_target_dead ||
-        (result.is_target_silent && health.silent_flows >= limits_.min_silent_flows_of_dead);
+        (result.is_target_silent && health.silent_flows >= limits_.min_silent_flows_of_dead_target);
     if (result.is_target_silent) {
         health.ejected_until = std::max(health.ejected_until, now + limits_.ejection_time);
     }
 }
 
-// Callers acknowledge without data only when something of the target has just arrived. An
-// acknowledgement that comes with data is no such sign: the answer may have come long before.
-void flow_tracker::note_acknowledgement(flow_state& flow, const segment& content,
-                                        observation& result, clock::time_point now) {
+// Callers send an acknowledgement without data only when something from the target has just
+// arrived. An acknowledgement that comes with data proves nothing: the response may have arrived
+// long before.
+void flow_tracker::record_acknowledgement(flow_state& flow, const segment& packet,
+                                          observation& result, clock::time_point now) {
     auto& health = health_[flow.token];
-    note_response(health, now);
+    record_response(health, now);
     if (!flow.is_request_sent) {
         return;
     }
-    result.is_answer = true;
-    result.answer_took = now - flow.request_at;
+    result.is_request_answered = true;
+    result.answer_time = now - flow.request_at;
     path_.on_answer(flow.repeats > 0, now);
-    const auto took = static_cast<double>(result.answer_took.count());
-    health.answer_ms += health.answer_ms == 0 ? took : (took - health.answer_ms) * answer_weight;
-    end_request(content.flow, flow);
+    const auto sample = static_cast<double>(result.answer_time.count());
+    health.answer_ms +=
+        health.answer_ms == 0 ? sample : (sample - health.answer_ms) * response_time_weight;
+    end_request(packet.flow, flow);
 }
 
-void flow_tracker::forget(const flow_key& key) {
+void flow_tracker::remove_flow(const flow_key& key) {
     const auto found = flows_.find(key);
     if (found != flows_.end()) {
         release(key, found->second);
@@ -239,18 +243,20 @@
     return result;
 }
 
-// Failure: all instances lost power, and while they start, openings wait in their sockets until
-// most callers have given up. Counted as requests, they fill the targets' room, and callers that
-// come now are refused by targets that are idle.
+// Stops counting openings that no request has followed. After a power failure of all instances,
+// openings wait in their sockets during the start until most callers have given up. Counted as open
+// requests they would use up the targets' capacity, and new callers would be rejected although
+// targets are idle.
 void flow_tracker::end_openings_without_request(clock::time_point now) {
-    while (!openings_.empty() && now - openings_.front().second >= limits_.request_follows) {
-        const auto& [key, opened_at] = openings_.front();
+    while (!openings_awaiting_request_.empty() &&
+           now - openings_awaiting_request_.front().second >= limits_.max_first_request_delay) {
+        const auto& [key, opened_at] = openings_awaiting_request_.front();
         const auto found = flows_.find(key);
         if (found != flows_.end() && !found->second.is_request_sent &&
             found->second.opened_at <= opened_at) {
             end_request(key, found->second);
         }
-        openings_.pop_front();
+        openings_awaiting_request_.pop_front();
     }
 }
 
@@ -262,12 +268,12 @@
     next_expiry_ = now + expiry_interval;
     for (auto each = flows_.begin(); each != flows_.end();) {
         auto& flow = each->second;
-        if (now - flow.seen_at > limits_.request_silence) {
+        if (now - flow.last_packet_at > limits_.open_request_idle_lifetime) {
             end_request(each->first, flow);
         }
         const auto lifetime =
             flow.is_established ? limits_.idle_lifetime : limits_.opening_lifetime;
-        if (now - flow.seen_at < lifetime) {
+        if (now - flow.last_packet_at < lifetime) {
             ++each;
             continue;
         }
@@ -277,15 +283,17 @@
     callers_.expire(now);
     std::erase_if(health_, [this, now](const auto& each) {
         const auto& health = each.second;
-        const bool is_doubted = now < std::max(health.reported_dead_until, health.dead_until);
-        return health.flows == 0 && !is_doubted && now - health.opened_at > limits_.idle_lifetime;
+        const bool is_considered_dead =
+            now < std::max(health.reported_dead_until, health.dead_until);
+        return health.flows == 0 && !is_considered_dead &&
+               now - health.opened_at > limits_.idle_lifetime;
     });
 }
 
 const target_health& flow_tracker::health(routing_token token) const {
-    static const target_health unknown;
+    static const target_health no_health;
     const auto found = health_.find(token);
-    return found == health_.end() ? unknown : found->second;
+    return found == health_.end() ? no_health : found->second;
 }
 
 void flow_tracker::begin_request(const flow_key& key, flow_state& flow) {
@@ -312,7 +320,7 @@
     end_request(key, flow);
 }
 
-void flow_tracker::note_reached(routing_token token) {
+void flow_tracker::record_reached(routing_token token) {
     const auto found = health_.find(token);
     if (found != health_.end()) {
         found->second.reported_dead_until = {};
@@ -320,13 +328,13 @@
     }
 }
 
-void flow_tracker::note_response(target_health& health, clock::time_point now) {
+void flow_tracker::record_response(target_health& health, clock::time_point now) {
     health.reported_dead_until = {};
     health.dead_until = {};
-    health.unanswered = 0;
+    health.unanswered_openings = 0;
     health.silent_flows = 0;
     health.ejected_until = {};
-    health.answered_at = now;
+    health.last_response_at = now;
     path_.on_life(now);
 }
 
--- a/libraries/steering/flow_tracker.h
+++ b/libraries/steering/flow_tracker.h
@@ -1,9 +1,10 @@
-// What the callers' packets tell about targets: openings that weren't answered, requests that are
-// open, and how long answers take. Only headers are read, and only this instance's share of them.
+// Infers the health and load of targets from callers' packets: openings without a response, open
+// requests and response times. It reads only headers, and only of the packets that reach this
+// instance.
 //
-// A copy of an opening packet says that the target chosen before didn't answer. The first other
-// packet of the flow says that it did. Data of the caller begins a request; an acknowledgement
-// without data says that something of the target has just arrived.
+// A retransmitted opening packet means that the target chosen before did not respond; the first
+// other packet of the flow means that it did. Data from the caller begins a request. An
+// acknowledgement without data means that something from the target has just reached the caller.
 #pragma once
 
 #include <cstdint>
@@ -20,23 +21,23 @@
 
 namespace bramleytrack::steering {
 
-// How one target does, as far as the packets here tell.
+// The health of one target, as inferred from the packets that this instance forwards.
 struct target_health {
-    int flows = 0;  // seen here and not closed
-    // Openings under way, and requests of which nothing was acknowledged. An opening counts as the
-    // request that follows it, or flows that arrive together would all find the target idle.
+    int flows = 0;  // that this instance has seen and that are not closed
+    // Pending openings, and requests without an acknowledged response. An opening counts as the
+    // request that follows it; otherwise flows that arrive together would all find the target idle.
     int open_requests = 0;
-    double answer_ms = 0;  // moving average from a request's first byte to its answer's
-    int unanswered = 0;    // openings in a row without an answer
-    // Flows whose data was sent a third time, since the last sign of life. A target that lives
-    // acknowledges the second copy, however slow its answer is, so a third one means that nothing
-    // reaches it; one flow alone may have lost both copies on the way.
+    double answer_ms = 0;         // moving average, from the request's first byte to the response's
+    int unanswered_openings = 0;  // consecutive openings without a response
+    // Flows whose data was retransmitted twice since the target's last response. A live target
+    // acknowledges the first retransmission however slow its responses are, so a second one means
+    // that nothing reaches the target. A single flow may also have lost both copies in transit.
     int silent_flows = 0;
     clock::time_point ejected_until;
-    clock::time_point reported_dead_until;  // by peers: gets no new flows
-    clock::time_point dead_until;           // found out here: its flows are ended
-    clock::time_point answered_at;          // last sign of life
-    clock::time_point opened_at;            // last opening that was placed on it
+    clock::time_point reported_dead_until;  // by peers; gets no new flows until then
+    clock::time_point dead_until;           // found dead here; its flows are ended
+    clock::time_point last_response_at;     // when the target last responded
+    clock::time_point opened_at;            // when an opening was last placed on it
 };
 
 struct flow_state {
@@ -44,59 +45,63 @@
     std::uint32_t opening_sequence = 0;
     std::uint32_t next_sequence = 0;  // after the newest data that was forwarded
     std::uint32_t acknowledged = 0;
-    clock::time_point opened_at;   // newest opening packet, or first other packet, here
-    clock::time_point request_at;  // first byte of the request that is open
-    clock::time_point seen_at;
+    clock::time_point opened_at;   // newest opening packet, or else first packet seen here
+    clock::time_point request_at;  // first byte of the open request
+    clock::time_point last_packet_at;
     bool is_established = false;
-    bool has_open_request = false;  // counted in target_health::open_requests
-    bool is_request_sent = false;   // its first byte went by; request_at holds then
-    bool counts_as_silent = false;  // in target_health::silent_flows
-    int repeats = 0;                // of the newest data
+    bool has_open_request = false;      // counted in target_health::open_requests
+    bool is_request_sent = false;       // its first byte was forwarded; request_at is valid
+    bool is_counted_as_silent = false;  // in target_health::silent_flows
+    int repeats = 0;                    // retransmissions of the newest data
 };
 
-// What a packet of an established flow was.
+// What a packet of an established flow showed.
 struct observation {
-    bool is_answer_to_opening = false;  // the target took the flow
-    clock::duration opening_took{0};
-    bool is_request_begun = false;  // one that the flow's opening didn't count for
-    bool is_answer = false;         // the target answered a request
-    clock::duration answer_took{0};
-    int repeats = 0;  // how often the caller has sent this data before
-    // The caller repeats its data, and nothing shows that the target has had it.
+    bool is_opening_answered = false;  // the target accepted the flow
+    clock::duration opening_response_time{0};
+    bool is_request_begun = false;     // other than the one counted by the flow's opening
+    bool is_request_answered = false;  // the target responded to a request
+    clock::duration answer_time{0};
+    int repeats = 0;  // how often the caller had sent this data before
+    // The caller retransmits its data, and the target has not responded since it was first sent.
     bool is_target_suspect = false;
     bool is_target_silent = false;  // see target_health::silent_flows
-    // So many flows found it silent that all of its flows are lost, also those that ask for nothing
-    // now.
+    // Enough flows found the target silent to end all of its flows, including idle ones.
     bool is_target_dead = false;
 };
 
 struct flow_tracker_limits {
-    // A target that left an opening unanswered gets no others for so long: each would cost its
-    // caller 200 ms until the copy. Dead targets leave the list after some two seconds.
+    // How long a target that left an opening unanswered gets no others: each one would cost its
+    // caller the 200 ms until the retransmission. The entries of dead targets are removed after
+    // about two seconds.
     clock::duration ejection_time{1'500};
     clock::duration max_ejection_time{6'000};
     int min_silent_flows = 2;
-    // One more than for a single flow, as all flows of the target are ended on this word.
-    int min_silent_flows_of_dead = 3;
-    // Callers send a third copy 600 ms after the first packet. Copies that come closer together
-    // have waited in this instance's socket while it stood still, and the target never had them.
-    clock::duration least_silence{500};
-    // Callers send copies of anything 200 ms after it and later. Copies that come sooner have
-    // waited in this instance's socket together with it, and say nothing about its target.
-    clock::duration least_copy_interval{100};
-    // A caller sends its request as soon as the target has answered the opening. When none has come
-    // by then, the opening holds no slot: its caller has given up, or its target is dead.
-    clock::duration request_follows{250};
-    // A caller goes on as soon as its opening is answered, a few milliseconds after it. One that
-    // was refused by the target sends nothing more on that flow, no copy either.
-    clock::duration opening_answered_within{50};
-    // An opening without an answer is forgotten then: callers give it up after 1.4 s.
+    // One more than for resetting a single flow, since it ends all flows of the target.
+    int min_silent_flows_of_dead_target = 3;
+    // Callers send the second retransmission 600 ms after the original. If all three arrive closer
+    // together, they were queued in this instance's socket while the process was paused, and the
+    // target has not received any of them before.
+    clock::duration min_silence{500};
+    // Callers send the first retransmission of a packet after 200 ms. One that arrives sooner was
+    // queued in this instance's socket together with the original, and indicates nothing about the
+    // target.
+    clock::duration min_copy_interval{100};
+    // A caller sends its request as soon as the target has answered the opening. An opening without
+    // a request by then no longer counts as an open request: its caller has given up, or its target
+    // is dead.
+    clock::duration max_first_request_delay{250};
+    // A caller's next packet follows as soon as its opening is answered, within a few milliseconds.
+    // A caller that the target refused sends nothing more on that flow, not even a retransmission.
+    clock::duration opening_response_timeout{50};
+    // How long an opening without a response is kept: callers give up after 1.4 s.
     clock::duration opening_lifetime{1'500};
     clock::duration idle_lifetime{15'000};
-    // A caller whose data isn't acknowledged repeats it within 1.6 s; one that doesn't sends
-    // through another instance by now, and its request isn't this one's to count.
-    clock::duration request_silence{2'000};
-    // 11 million flows on 610 instances are 18,000 each; a flood of openings must not grow it more.
+    // A caller retransmits unacknowledged data within 1.6 s. After a longer silence its packets
+    // pass through another instance, and its request is no longer counted by this one.
+    clock::duration open_request_idle_lifetime{2'000};
+    // 11 million flows on 610 instances are 18,000 on each. The limit bounds memory during a flood
+    // of openings.
     std::size_t max_flows = 60'000;
 };
 
@@ -104,41 +109,44 @@
 public:
     explicit flow_tracker(flow_tracker_limits limits = {}) : limits_{limits} {}
 
-    // The flow as seen here, if it was.
+    // Returns the flow's record, or null if this instance has not seen it.
     const flow_state* find(const flow_key& key) const;
 
-    // An opening packet came, whatever becomes of it.
-    void note_attempt(const flow_key& key, clock::time_point now) {
+    // Counts an opening packet of the caller, whether it is accepted or not.
+    void record_attempt(const flow_key& key, clock::time_point now) {
         callers_.on_asked(key.caller.address, now);
     }
-    // The token of the target that got this very opening so short a time ago that the copy must
-    // have waited in this instance's socket; nothing otherwise.
+    // Returns the token of the target that got the original of this opening packet, if that was so
+    // recent that both must have been queued in this instance's socket.
     std::optional<routing_token> find_recent_opening(const segment& copy,
                                                      clock::time_point now) const;
-    // The target chosen for an earlier copy of this opening packet didn't answer. Returns its token
-    // unless it answered others meanwhile, or nothing is known of the flow.
-    std::optional<routing_token> note_unanswered(const flow_key& key, clock::time_point now);
-    void note_opening(const segment& opening, routing_token token, clock::time_point now);
-    observation note_packet(const segment& content, clock::time_point now);
-    // Targets of openings that their callers haven't gone on with, each once.
+    // The target chosen for an earlier copy of this opening packet did not respond. Ejects it and
+    // returns its token, unless it has responded to other flows since or the flow has no record
+    // here.
+    std::optional<routing_token> record_unanswered_opening(const flow_key& key,
+                                                           clock::time_point now);
+    void record_opening(const segment& opening, routing_token token, clock::time_point now);
+    observation record_packet(const segment& packet, clock::time_point now);
+    // Returns the target of each opening that no packet of its caller has followed, once per
+    // opening.
     //
-    // Failure: a target's process has ended, and its machine refuses each opening. The refusal goes
-    // to the caller, which opens another flow, through another instance, and is refused again; no
-    // instance sees more than an opening that nothing follows.
+    // When a target's process has ended, its machine refuses each opening. The refusal goes to the
+    // caller only, which opens another flow, through another instance, and is refused again. All
+    // that an instance sees of this is an opening that nothing follows.
     std::vector<routing_token> take_abandoned_openings(clock::time_point now);
-    // The flow's caller was told that it is over.
-    void forget(const flow_key& key);
-    // Forgets the target's established flows and returns what their callers are to be told.
+    // Removes a flow whose caller has been sent a reset.
+    void remove_flow(const flow_key& key);
+    // Removes the target's established flows and returns the resets for their callers.
     std::vector<reset> end_flows_of(routing_token token);
-    // The target was found dead, until it shows life again or that moment.
-    void note_dead(routing_token token, clock::time_point until) {
+    // The target was found dead; it counts as dead until then, unless it responds before.
+    void record_dead(routing_token token, clock::time_point until) {
         health_[token].dead_until = until;
     }
-    void note_reported_dead(routing_token token, clock::time_point until) {
+    void record_reported_dead(routing_token token, clock::time_point until) {
         health_[token].reported_dead_until = until;
     }
-    // It was reached by other means than a caller's packet.
-    void note_reached(routing_token token);
+    // The target responded to a probe.
+    void record_reached(routing_token token);
     void expire(clock::time_point now);
 
     const target_health& health(routing_token token) const;
@@ -150,24 +158,24 @@
     const path_health& path() const { return path_; }
 
 private:
-    flow_state* find_or_adopt(const segment& content, bool is_end, clock::time_point now);
-    void note_data(flow_state& flow, const segment& content, observation& result,
-                   clock::time_point now);
-    void note_repeat(flow_state& flow, observation& result, clock::time_point now);
-    void note_acknowledgement(flow_state& flow, const segment& content, observation& result,
-                              clock::time_point now);
+    flow_state* find_or_create(const segment& packet, bool is_end, clock::time_point now);
+    void record_data(flow_state& flow, const segment& packet, observation& result,
+                     clock::time_point now);
+    void record_repeat(flow_state& flow, observation& result, clock::time_point now);
+    void record_acknowledgement(flow_state& flow, const segment& packet, observation& result,
+                                clock::time_point now);
     void begin_request(const flow_key& key, flow_state& flow);
     void end_request(const flow_key& key, flow_state& flow);
     void release(const flow_key& key, flow_state& flow);
     void end_openings_without_request(clock::time_point now);
-    void note_response(target_health& health, clock::time_point now);
+    void record_response(target_health& health, clock::time_point now);
 
     flow_tracker_limits limits_;
     std::unordered_map<flow_key, flow_state, flow_key_hash> flows_;
-    // Openings by age, the oldest first; those that led to a request meanwhile are still here.
-    std::deque<std::pair<flow_key, clock::time_point>> openings_;
-    // The newest of them, which may still be answered in time.
-    std::deque<std::pair<flow_key, clock::time_point>> fresh_openings_;
+    // Openings, oldest first, including those that a request has followed since.
+    std::deque<std::pair<flow_key, clock::time_point>> openings_awaiting_request_;
+    // The newest of them, whose response timeout has not passed yet.
+    std::deque<std::pair<flow_key, clock::time_point>> openings_awaiting_response_;
     std::unordered_map<routing_token, target_health> health_;
     caller_shares callers_;
     path_health path_;
--- a/libraries/steering/steering.cpp
+++ b/libraries/steering/steering.cpp
@@ -12,209 +12,214 @@
 namespace bramleytrack::steering {
 namespace {
 
-// The priority of requests on a route that isn't listed any more.
-constexpr int least_urgent = std::numeric_limits<int>::max();
+// The priority of requests on a route that is no longer listed.
+constexpr int lowest_priority = std::numeric_limits<int>::max();
 
-std::uint64_t hash_of_flow(const segment& content) {
-    return bramleytrack::hash_of(flow_key_hash{}(content.flow), content.sequence);
+std::uint64_t hash_of_flow(const segment& packet) {
+    return bramleytrack::hash_of(flow_key_hash{}(packet.flow), packet.sequence);
 }
 
-// The service that an opening counts for in the metrics.
-std::string service_of(const discovery::route* route, const decision& made) {
-    if (const auto* forwarded = std::get_if<forward>(&made)) {
+// The service to which the metrics attribute an opening.
+std::string service_of(const discovery::route* route, const decision& outcome) {
+    if (const auto* forwarded = std::get_if<forward>(&outcome)) {
         return forwarded->to->entry.service;
     }
-    const bool is_split = route != nullptr && !route->splits.empty();
-    return is_split ? route->splits.front().service : "none";
+    const bool has_split = route != nullptr && !route->splits.empty();
+    return has_split ? route->splits.front().service : "none";
 }
 
-// Failure: a target turns slow, and while it has little work it looks as good as any other. The
-// time that its answers take tells it apart; a target without answers yet counts as an average one.
+// Weighs each target's load by its response time relative to the mean of the candidates. By load
+// alone, a target that has become slow looks as good as any other while it has few open requests. A
+// target without measured responses counts as average.
 void weigh_by_answer_time(std::span<candidate> candidates) {
     double sum = 0;
-    int known = 0;
+    int measured = 0;
     for (const auto& each : candidates) {
         sum += each.answer_ms;
-        known += each.answer_ms > 0 ? 1 : 0;
+        measured += each.answer_ms > 0 ? 1 : 0;
     }
-    if (known == 0) {
+    if (measured == 0) {
         return;
     }
     for (auto& each : candidates) {
-        each.load *= each.answer_ms > 0 ? each.answer_ms * known / sum : 1.0;
+        each.load *= each.answer_ms > 0 ? each.answer_ms * measured / sum : 1.0;
     }
 }
 
 }  // namespace
 
-steering::steering(place here, const discovery::directory& known, cold_gate& cold,
-                   const remote_load& loads, event_log& log, flow_observer& observer,
+steering::steering(location own_location, const discovery::directory& directory, cold_gate& gate,
+                   const remote_load& remote, event_log& log, flow_observer& observer,
                    steering_limits limits)
-    : place_{std::move(here)},
-      known_{known},
-      cold_{cold},
-      loads_{loads},
-      load_estimate_{known, flows_, loads},
-      log_{log, known, flows_, place_.zone},
+    : location_{std::move(own_location)},
+      directory_{directory},
+      cold_gate_{gate},
+      remote_load_{remote},
+      load_estimate_{directory, flows_, remote},
+      log_{log, directory, flows_, location_.zone},
       observer_{observer},
       limits_{limits} {}
 
-decision steering::on_segment(const segment& content, const directory_state& state,
+decision steering::on_segment(const segment& packet, const directory_state& state,
                               clock::time_point now) {
-    return content.is_opening ? on_opening(content, state, now)
-                              : on_later_packet(content, state, now);
+    return packet.is_opening ? on_opening(packet, state, now)
+                             : on_established_packet(packet, state, now);
 }
 
 void steering::expire(clock::time_point now) {
     flows_.expire(now);
-    cold_.expire(now);
-    log_.report(now);
+    cold_gate_.expire(now);
+    log_.report_rejections(now);
 }
 
-decision steering::on_opening(const segment& content, const directory_state& state,
+decision steering::on_opening(const segment& packet, const directory_state& state,
                               clock::time_point now) {
-    const auto* route = known_.find_route(content.flow.route);
+    const auto* route = directory_.find_route(packet.flow.route);
     eligible_targets targets;
-    const auto finish = [&](const decision& made) {
-        const auto service = service_of(route, made);
-        observer_.on_decision(service, made);
-        log_.opening({.content = content,
+    const auto record_outcome = [&](const decision& outcome) {
+        const auto service = service_of(route, outcome);
+        observer_.on_decision(service, outcome);
+        log_.opening({.packet = packet,
                       .state = state,
                       .service = service,
                       .route = route,
-                      .made = made,
+                      .outcome = outcome,
                       .candidates = targets.candidates.size(),
                       .capacity_share = targets.capacity_share,
-                      .use = targets.use},
+                      .usage = targets.usage},
                      now);
-        return made;
+        return outcome;
     };
     if (!state.is_complete) {
-        return finish(drop{result_code::not_ready});
+        return record_outcome(drop{result_code::not_ready});
     }
-    const bool is_fresh = now - state.confirmed <= limits_.refusal_age;
+    const bool is_state_fresh = now - state.confirmed <= limits_.max_refusal_staleness;
     if (route == nullptr) {
-        // Failure: an instance that is cut off refuses callers of a route that was added meanwhile.
-        // It stays silent then, and the copy of the packet may reach an instance that knows.
-        return finish(is_fresh
-                          ? decision{refuse{{.flow = content.flow}, result_code::unknown_route}}
-                          : decision{drop{result_code::unknown_route}});
+        // A partitioned instance may not have received a route that was added since, and must not
+        // reject its callers. It drops the packet instead, and the retransmission may reach an
+        // instance that has the route.
+        return record_outcome(
+            is_state_fresh ? decision{refuse{{.flow = packet.flow}, result_code::unknown_route}}
+                           : decision{drop{result_code::unknown_route}});
     }
-    flows_.note_attempt(content.flow, now);
-    if (const auto* same = find_recent_opening(content, now)) {
-        return finish(forward{same});
+    flows_.record_attempt(packet.flow, now);
+    if (const auto* original_target = find_recent_opening(packet, now)) {
+        return record_outcome(forward{original_target});
     }
-    if (content.copy > 0) {
-        log_.unanswered(content, now);
-        if (const auto token = flows_.note_unanswered(content.flow, now)) {
+    if (packet.copy > 0) {
+        log_.unanswered_opening(packet, now);
+        if (const auto token = flows_.record_unanswered_opening(packet.flow, now)) {
             suspects_.push_back(*token);
         }
     }
-    const auto flow_hash = hash_of_flow(content);
-    const auto* pool = pool_of(*route, flow_hash);
-    if (pool != nullptr && content.copy == 0) {
+    const auto flow_hash = hash_of_flow(packet);
+    const auto* pool = choose_pool(*route, flow_hash);
+    if (pool != nullptr && packet.copy == 0) {
         demands_[pool->description.name].on_asked(route->priority, now);
     }
     if (pool != nullptr) {
-        targets = eligible(*pool, *route, content, now);
+        targets = find_eligible_targets(*pool, *route, packet, now);
     }
-    const auto choice = choose(targets.candidates, flow_hash, content.copy);
-    if (const auto* none = std::get_if<placement_failure>(&choice)) {
-        return finish(turn_away(content, *none, targets.is_any_cold, is_fresh));
+    const auto choice = choose(targets.candidates, flow_hash, packet.copy);
+    if (const auto* failure = std::get_if<placement_failure>(&choice)) {
+        return record_outcome(
+            reject(packet, *failure, targets.has_held_back_cold_target, is_state_fresh));
     }
     const auto& target = *targets.candidates[std::get<std::size_t>(choice)].subject;
-    cold_.note_opened(target, now);
-    flows_.note_opening(content, target.token, now);
+    cold_gate_.note_opened(target, now);
+    flows_.record_opening(packet, target.token, now);
     load_estimate_.note_placed(target.entry.service);
-    return finish(forward{&target});
+    return record_outcome(forward{&target});
 }
 
-// Failure: while an instance starts or stands still, an opening and its copies wait in its socket,
-// and it reads them within a few milliseconds. The copies look like targets that haven't answered:
-// most of them are shunned, callers are refused though targets are idle, and two targets take one
-// flow. Such a copy is the same opening, and goes to the same target.
-const discovery::target* steering::find_recent_opening(const segment& content,
+// Returns the target that got the original of this retransmission, if both waited in this
+// instance's socket. While an instance starts or is paused, an opening and its retransmissions
+// queue there and are then read within a few milliseconds. Taken for signs of targets that do not
+// respond, they would get most targets ejected and callers rejected although targets are idle, and
+// two targets would accept the same flow. The retransmission therefore goes to the same target.
+const discovery::target* steering::find_recent_opening(const segment& packet,
                                                        clock::time_point now) const {
-    const auto token = content.copy > 0 ? flows_.find_recent_opening(content, now) : std::nullopt;
-    const auto* target = token.has_value() ? known_.find_target(*token) : nullptr;
-    const bool may_take_it =
+    const auto token = packet.copy > 0 ? flows_.find_recent_opening(packet, now) : std::nullopt;
+    const auto* target = token.has_value() ? directory_.find_target(*token) : nullptr;
+    const bool can_accept_copy =
         target != nullptr && load_estimate_.accepts_flows(*target, now) && !target->is_cold(now);
-    return may_take_it ? target : nullptr;
+    return can_accept_copy ? target : nullptr;
 }
 
-// A caller that can't be served in time learns so now: its wait would delay the others, and the
-// refusal is true, since nothing has run. A cold target may take the copy of the packet in 200 ms,
-// so when all that could serve are cold, silence is better; and so it is while a target may have
-// come that isn't known here.
-decision steering::turn_away(const segment& content, placement_failure reason, bool is_any_cold,
-                             bool is_fresh) {
+// A caller that cannot be served in time is reset at once: its wait would delay others, and the
+// rejection is safe because nothing has run. If a cold target was held back, the packet is dropped
+// instead, since that target may accept the retransmission 200 ms later. It is also dropped while
+// the directory is stale, since a target may have been added that it does not list yet.
+decision steering::reject(const segment& packet, placement_failure reason,
+                          bool has_held_back_cold_target, bool is_state_fresh) {
     if (reason == placement_failure::saturated) {
-        return refuse{{.flow = content.flow}, result_code::queue_full};
+        return refuse{{.flow = packet.flow}, result_code::queue_full};
     }
-    if (is_fresh && !is_any_cold) {
-        return refuse{{.flow = content.flow}, result_code::no_eligible_target};
+    if (is_state_fresh && !has_held_back_cold_target) {
+        return refuse{{.flow = packet.flow}, result_code::no_eligible_target};
     }
     return drop{result_code::no_eligible_target};
 }
 
-decision steering::on_later_packet(const segment& content, const directory_state& state,
-                                   clock::time_point now) {
-    const auto finish = [&](const decision& made) {
-        observer_.on_decision("established", made);
-        log_.packet(content, made, now);
-        return made;
+decision steering::on_established_packet(const segment& packet, const directory_state& state,
+                                         clock::time_point now) {
+    const auto record_outcome = [&](const decision& outcome) {
+        observer_.on_decision("established", outcome);
+        log_.undelivered_packet(packet, outcome, now);
+        return outcome;
     };
-    if (is_left_by_its_route(content, state, now)) {
-        return finish(refuse{{.flow = content.flow, .sequence = content.acknowledged},
-                             result_code::unknown_route});
+    if (is_route_removed_since_opening(packet, state, now)) {
+        return record_outcome(refuse{{.flow = packet.flow, .sequence = packet.acknowledged},
+                                     result_code::unknown_route});
     }
-    const auto* target = known_.find_target(content.token);
+    const auto* target = directory_.find_target(packet.token);
     if (target == nullptr) {
-        // A guess could bring the packet to another target, which resets the flow.
-        return finish(drop{result_code::unknown_token});
+        // Any other target would reset the flow.
+        return record_outcome(drop{result_code::unknown_token});
     }
-    const auto* route = known_.find_route(content.flow.route);
+    const auto* route = directory_.find_route(packet.flow.route);
     const auto objective = route == nullptr ? clock::duration{0} : route->latency_objective;
-    const auto seen = flows_.note_packet(content, now);
-    if (seen.is_request_begun) {
-        demands_[target->entry.service].on_asked(route == nullptr ? least_urgent : route->priority,
-                                                 now);
+    const auto observed = flows_.record_packet(packet, now);
+    if (observed.is_request_begun) {
+        demands_[target->entry.service].on_asked(
+            route == nullptr ? lowest_priority : route->priority, now);
     }
-    if (seen.is_answer_to_opening) {
-        observer_.on_opening_answered(*target, seen.opening_took);
+    if (observed.is_opening_answered) {
+        observer_.on_opening_answered(*target, observed.opening_response_time);
     }
-    if (seen.is_answer) {
-        observer_.on_answer(*target, seen.answer_took);
-        log_.answer(content, *target, objective, seen.answer_took, now);
+    if (observed.is_request_answered) {
+        observer_.on_answer(*target, observed.answer_time);
+        log_.late_answer(packet, *target, objective, observed.answer_time, now);
     }
-    if (seen.is_target_suspect) {
+    if (observed.is_target_suspect) {
         suspects_.push_back(target->token);
     }
-    if (seen.is_target_dead) {
+    if (observed.is_target_dead) {
         end_flows_of(*target, now);
-        return finish(refuse{{.flow = content.flow, .sequence = content.acknowledged},
-                             result_code::target_silent});
+        return record_outcome(refuse{{.flow = packet.flow, .sequence = packet.acknowledged},
+                                     result_code::target_silent});
     }
-    if (const auto reason = hopeless(*target, route, seen)) {
-        flows_.forget(content.flow);
-        return finish(refuse{{.flow = content.flow, .sequence = content.acknowledged}, *reason});
+    if (const auto reason = reset_reason(*target, route, observed)) {
+        flows_.remove_flow(packet.flow);
+        return record_outcome(
+            refuse{{.flow = packet.flow, .sequence = packet.acknowledged}, *reason});
     }
     return forward{target};
 }
 
-// Failure: a target dies with hundreds of open flows, and each of their callers finds out by
-// itself, by a request that waits for its deadline; what may not be repeated is then lost. Told at
-// once, a caller that asks for nothing now opens another flow for its next request, and one that
-// waits has its final answer. Each reset would break the flow of a target that lives, so three
-// flows must have found it silent while this instance's path to others was sound, or it couldn't be
-// reached from several instances.
+// Resets all flows of a dead target. Otherwise each caller of its hundreds of open flows finds out
+// by a request that waits for its deadline, and requests that may not be repeated are lost. After a
+// reset, an idle caller opens another flow for its next request, and a waiting one fails at once.
+// Resets would break the flows of a live target, so this requires that three flows found it silent
+// while this instance's path to other targets was sound, or that several instances could not reach
+// it.
 void steering::end_flows_of(const discovery::target& target, clock::time_point now) {
     const auto health = flows_.health(target.token);
     auto ended = flows_.end_flows_of(target.token);
     log_.target_dead(target, health, ended.size(), now);
     for (const auto& each : ended) {
-        const decision made = refuse{each, result_code::target_silent};
-        observer_.on_decision("established", made);
+        const decision outcome = refuse{each, result_code::target_silent};
+        observer_.on_decision("established", outcome);
         log_.flow_ended(each.flow, target, now);
     }
     std::ranges::move(ended, std::back_inserter(resets_));
@@ -227,55 +232,56 @@
 
 void steering::on_target_dead(const discovery::target& target, clock::time_point probed_at,
                               clock::time_point now) {
-    if (flows_.health(target.token).answered_at >= probed_at) {
+    if (flows_.health(target.token).last_response_at >= probed_at) {
         return;
     }
-    flows_.note_dead(target.token, now + limits_.death_lifetime);
+    flows_.record_dead(target.token, now + limits_.dead_verdict_lifetime);
     end_flows_of(target, now);
 }
 
 void steering::on_target_reported_dead(const discovery::target& target, clock::time_point until) {
-    flows_.note_reported_dead(target.token, until);
+    flows_.record_reported_dead(target.token, until);
 }
 
-// Failure: a route is dropped and comes back. An instance that hasn't heard of its return resets a
-// flow that was opened through another one. So only flows that were seen here before the drop are
-// ended, and only on word that is fresh.
-bool steering::is_left_by_its_route(const segment& content, const directory_state& state,
-                                    clock::time_point now) const {
-    const auto dropped_at = known_.dropped_at(content.flow.route);
-    const auto* flow = flows_.find(content.flow);
+// Whether the route was removed after this flow was opened. A route may be removed and added again,
+// and an instance that has not received the addition would reset flows opened through other
+// instances. So only flows that were seen here before the removal are ended, and only while the
+// directory was confirmed recently.
+bool steering::is_route_removed_since_opening(const segment& packet, const directory_state& state,
+                                              clock::time_point now) const {
+    const auto dropped_at = directory_.dropped_at(packet.flow.route);
+    const auto* flow = flows_.find(packet.flow);
     return dropped_at.has_value() && flow != nullptr && flow->opened_at < *dropped_at &&
-           now - state.confirmed <= limits_.refusal_age;
+           now - state.confirmed <= limits_.max_refusal_staleness;
 }
 
-// Failure: a target has died, has left, or can't be reached, and its callers wait for their
-// deadlines on flows that lead nowhere. A reset lets them go elsewhere, but would break the flow of
-// a target that lives, so it needs evidence beyond doubt.
-std::optional<result_code> steering::hopeless(const discovery::target& target,
-                                              const discovery::route* route,
-                                              const observation& seen) const {
-    if (seen.repeats == 0) {
+// Returns why an established flow must be reset, if it must. When a target has died, has left or is
+// unreachable, its callers wait for their deadlines on undeliverable flows; a reset lets them use
+// another target. It would break the flow of a live target, so it requires strong evidence.
+std::optional<result_code> steering::reset_reason(const discovery::target& target,
+                                                  const discovery::route* route,
+                                                  const observation& observed) const {
+    if (observed.repeats == 0) {
         return std::nullopt;
     }
-    // The entry alone may be wrong: it lapses while the store is away, and can be taken away. A
-    // live target acknowledges the second copy of data; one that drained before its entry went has
-    // ended, and its caller needn't wait for the third.
-    const bool shows_no_life = flows_.health(target.token).answered_at < target.changed_at;
+    // A missing entry alone proves nothing: it expires during a store outage, and can be removed by
+    // mistake. A live target acknowledges the first retransmission, so the second one is required.
+    // A target that drained before its entry was removed has ended, and one is enough.
+    const bool has_not_responded = flows_.health(target.token).last_response_at < target.changed_at;
     const bool is_gone = !target.is_listed() && !target.presumed_alive_until.has_value();
-    const int enough = target.gone == discovery::absence::left ? 1 : 2;
-    if (is_gone && shows_no_life && seen.repeats >= enough) {
+    const int min_repeats = target.gone == discovery::absence::left ? 1 : 2;
+    if (is_gone && has_not_responded && observed.repeats >= min_repeats) {
         return result_code::target_gone;
     }
-    // The entry of a target that has just died is still there for some seconds. Callers repeat only
-    // what may run twice, so the others gain nothing by a reset.
+    // The entry of a target that has just died remains listed for some seconds. Callers repeat only
+    // idempotent requests, so a reset gains nothing on other routes.
     const bool may_repeat = route != nullptr && route->is_idempotent;
-    return seen.is_target_silent && may_repeat ? std::optional{result_code::target_silent}
-                                               : std::nullopt;
+    return observed.is_target_silent && may_repeat ? std::optional{result_code::target_silent}
+                                                   : std::nullopt;
 }
 
-const discovery::pool* steering::pool_of(const discovery::route& route,
-                                         std::uint64_t flow_hash) const {
+const discovery::pool* steering::choose_pool(const discovery::route& route,
+                                             std::uint64_t flow_hash) const {
     std::uint64_t total = 0;
     for (const auto& each : route.splits) {
         total += each.weight;
@@ -286,102 +292,106 @@
     auto position = bramleytrack::hash_of(flow_hash, hash_of(route.name)) % total;
     for (const auto& each : route.splits) {
         if (position < each.weight) {
-            return known_.find_pool(each.service);
+            return directory_.find_pool(each.service);
         }
         position -= each.weight;
     }
     return nullptr;
 }
 
-service_demand_split steering::wants_of(std::string_view service, clock::time_point now) const {
+service_demand_split steering::demand_of(std::string_view service, clock::time_point now) const {
     const auto found = demands_.find(service);
     return {.here = found == demands_.end() ? 0 : found->second.recent(now),
-            .elsewhere = loads_.demand_remote(service, now)};
+            .elsewhere = remote_load_.demand_remote(service, now)};
 }
 
-service_usage steering::use_of(std::string_view service, clock::time_point now) {
-    const auto wants = wants_of(service, now);
-    const auto* pool = known_.find_pool(service);
-    constexpr auto anywhere = [](std::string_view /*zone*/) { return true; };
-    return pool == nullptr ? service_usage{wants}
-                           : load_estimate_.use_of(*pool, wants, anywhere, now);
+service_usage steering::usage_of(std::string_view service, clock::time_point now) {
+    const auto demand = demand_of(service, now);
+    const auto* pool = directory_.find_pool(service);
+    constexpr auto any_zone = [](std::string_view /*zone*/) { return true; };
+    return pool == nullptr ? service_usage{demand}
+                           : load_estimate_.use_of(*pool, demand, any_zone, now);
 }
 
 std::string_view steering::region_of(std::string_view zone) const {
-    const auto found = place_.regions.find(zone);
-    return found == place_.regions.end() ? std::string_view{} : std::string_view{found->second};
+    const auto found = location_.regions.find(zone);
+    return found == location_.regions.end() ? std::string_view{} : std::string_view{found->second};
 }
 
-// A zone whose region isn't known is no place for what must stay in a region.
+// A zone of unknown region is not allowed for a route that is restricted to regions.
 bool steering::is_allowed(const discovery::route& route, std::string_view zone) const {
     return route.allowed_regions.empty() ||
            std::ranges::find(route.allowed_regions, region_of(zone)) != route.allowed_regions.end();
 }
 
-// When there isn't room for all, callers of a route that operators rank behind another one of the
-// service are turned away first, and so are callers that have more than their share already.
+// When capacity is short, the first to be rejected are callers of routes with a lower priority than
+// another route of the service that has demand, and callers that already exceed their fair share.
 double steering::capacity_share(const discovery::pool& pool, const discovery::route& route,
                                 const flow_key& flow, clock::time_point now) const {
-    const auto asked = demands_.find(pool.description.name);
-    const bool yields =
-        asked != demands_.end() &&
-        asked->second.recent_higher_priority(route.priority, now) >= min_higher_priority_demand;
+    const auto demand = demands_.find(pool.description.name);
+    const bool has_higher_priority_demand =
+        demand != demands_.end() &&
+        demand->second.recent_higher_priority(route.priority, now) >= min_higher_priority_demand;
     double share = 1;
-    share *= yields ? lower_priority_capacity_share : 1;
+    share *= has_higher_priority_demand ? lower_priority_capacity_share : 1;
     share *= flows_.callers().is_heavy(flow.caller.address) ? heavy_caller_capacity_share : 1;
     return share;
 }
 
-std::vector<const discovery::target*> steering::looked_at(const discovery::pool& pool,
-                                                          const discovery::route& route,
-                                                          std::uint64_t flow_hash) const {
-    enum tier : std::size_t { near, in_region, far, tiers };
-    constexpr std::array<std::size_t, tiers> samples{same_zone_sample_size, same_region_sample_size,
-                                                     remote_region_sample_size};
-    std::array<std::vector<std::span<discovery::target* const>>, tiers> lists;
+std::vector<const discovery::target*> steering::sample_targets(const discovery::pool& pool,
+                                                               const discovery::route& route,
+                                                               std::uint64_t flow_hash) const {
+    enum tier : std::size_t { same_zone, same_region, other_region, tier_count };
+    constexpr std::array<std::size_t, tier_count> samples{
+        same_zone_sample_size, same_region_sample_size, remote_region_sample_size};
+    std::array<std::vector<std::span<discovery::target* const>>, tier_count> lists;
     for (const auto& [zone, targets] : pool.by_zone) {
-        if (!is_allowed(route, zone) || known_.is_zone_out(zone)) {
+        if (!is_allowed(route, zone) || directory_.is_zone_out(zone)) {
             continue;
         }
-        const bool is_home = region_of(zone) == region_of(place_.zone);
-        lists.at(zone == place_.zone ? near : is_home ? in_region : far).emplace_back(targets);
+        const bool is_same_region = region_of(zone) == region_of(location_.zone);
+        lists.at(zone == location_.zone ? same_zone
+                 : is_same_region       ? same_region
+                                        : other_region)
+            .emplace_back(targets);
     }
     std::vector<const discovery::target*> result;
-    for (std::size_t each = near; each < tiers; ++each) {
+    for (std::size_t each = same_zone; each < tier_count; ++each) {
         const auto sample = sample_of(lists.at(each), flow_hash, samples.at(each));
         result.insert(result.end(), sample.begin(), sample.end());
     }
     return result;
 }
 
-steering::eligible_targets steering::eligible(const discovery::pool& pool,
-                                              const discovery::route& route, const segment& content,
-                                              clock::time_point now) {
+steering::eligible_targets steering::find_eligible_targets(const discovery::pool& pool,
+                                                           const discovery::route& route,
+                                                           const segment& packet,
+                                                           clock::time_point now) {
     eligible_targets result;
-    result.capacity_share = capacity_share(pool, route, content.flow, now);
-    result.use = load_estimate_.use_of(
-        pool, wants_of(pool.description.name, now),
+    result.capacity_share = capacity_share(pool, route, packet.flow, now);
+    result.usage = load_estimate_.use_of(
+        pool, demand_of(pool.description.name, now),
         [this, &route](std::string_view zone) { return is_allowed(route, zone); }, now);
-    const bool has_service_room = has_room(result.use, result.capacity_share);
-    for (const auto* each : looked_at(pool, route, hash_of_flow(content))) {
+    const bool has_service_capacity = has_room(result.usage, result.capacity_share);
+    for (const auto* each : sample_targets(pool, route, hash_of_flow(packet))) {
         if (!each->takes_flows(now)) {
             continue;
         }
-        const bool is_barred =
+        const bool is_held_back =
             each->is_cold(now) &&
-            !cold_.may_open(*each, pool.description.cold_flows_per_second, known_, now);
-        if (is_barred) {
-            result.is_any_cold = true;
+            !cold_gate_.may_open(*each, pool.description.cold_flows_per_second, directory_, now);
+        if (is_held_back) {
+            result.has_held_back_cold_target = true;
             continue;
         }
-        const auto use = load_estimate_.use_of(*each, now);
+        const auto usage = load_estimate_.use_of(*each, now);
         result.candidates.push_back(
             {.subject = each,
-             .is_in_same_region = region_of(each->entry.zone) == region_of(place_.zone),
-             .is_near = each->entry.zone == place_.zone,
+             .is_in_same_region = region_of(each->entry.zone) == region_of(location_.zone),
+             .is_near = each->entry.zone == location_.zone,
              .is_ejected = load_estimate_.is_ejected(*each, now),
-             .has_room = has_service_room && has_room(use, result.capacity_share),
-             .load = (use.here + use.elsewhere + 1) / use.slots,
+             .has_room = has_service_capacity && has_room(usage, result.capacity_share),
+             .load = (usage.here + usage.elsewhere + 1) / usage.slots,
              .answer_ms = flows_.health(each->token).answer_ms});
     }
     weigh_by_answer_time(result.candidates);
--- a/libraries/steering/steering.h
+++ b/libraries/steering/steering.h
@@ -1,9 +1,10 @@
-// Routing by token: what happens to each packet of a caller, decided from the packet alone and from
-// what the directory holds.
+// Routing by token: decides what happens to each packet of a caller, from the packet and the
+// directory alone.
 //
-// A target's packets carry a token that callers return. Whoever forwards a packet writes the
-// target's token into it, so that any instance routes every later packet of the flow without a
-// record of the flow, a hop, or an agreement with peers; nothing is lost when an instance ends.
+// A target's packets carry a token that callers return. The instance that forwards a packet writes
+// the target's token into it. Any instance can therefore route every later packet of the flow
+// without per-flow state, an extra hop or coordination with peers, and no flow is lost when an
+// instance ends.
 #pragma once
 
 #include <map>
@@ -30,23 +31,24 @@
 namespace bramleytrack::steering {
 
 struct steering_limits {
-    // A target that was found dead is taken for dead so long, unless it shows life. Dead targets
-    // leave the list after some two seconds.
-    clock::duration death_lifetime{3'000};
-    // A route that isn't known may have been added since: callers are refused only on word that is
-    // younger than the bound for a change of the configuration.
-    clock::duration refusal_age{3'000};
+    // How long a target that was found dead counts as dead, unless it responds. The entries of dead
+    // targets are removed after about two seconds.
+    clock::duration dead_verdict_lifetime{3'000};
+    // A route or target that the directory does not hold may have been added since it was
+    // confirmed. Callers are rejected only while the confirmation is younger than the time within
+    // which a configuration change must reach every instance.
+    clock::duration max_refusal_staleness{3'000};
 };
 
-// Where this instance is.
-struct place {
+// The location of this instance.
+struct location {
     std::string zone;
-    std::map<std::string, std::string, std::less<>> regions;  // by availability zone
+    std::map<std::string, std::string, std::less<>> regions;  // by zone
 };
 
 using demand_by_service = std::map<std::string, service_demand, std::less<>>;
 
-// Told of what the packets show, for the histograms.
+// Receives measurements and decisions, for the metrics.
 class flow_observer {
 public:
     flow_observer() = default;
@@ -54,83 +56,85 @@
     flow_observer& operator=(const flow_observer&) = delete;
     virtual ~flow_observer() = default;
 
-    virtual void on_opening_answered(const discovery::target& by, clock::duration took) = 0;
-    virtual void on_answer(const discovery::target& by, clock::duration took) = 0;
-    virtual void on_decision(std::string_view service, const decision& made) = 0;
+    virtual void on_opening_answered(const discovery::target& target, clock::duration latency) = 0;
+    virtual void on_answer(const discovery::target& target, clock::duration latency) = 0;
+    virtual void on_decision(std::string_view service, const decision& outcome) = 0;
 };
 
 class steering {
 public:
-    steering(place here, const discovery::directory& known, cold_gate& cold,
-             const remote_load& loads, event_log& log, flow_observer& observer,
+    steering(location own_location, const discovery::directory& directory, cold_gate& gate,
+             const remote_load& remote, event_log& log, flow_observer& observer,
              steering_limits limits = {});
 
-    decision on_segment(const segment& content, const directory_state& state,
-                        clock::time_point now);
-    // Resets of other flows than those of the packets that brought them about, for the daemon to
-    // send.
+    decision on_segment(const segment& packet, const directory_state& state, clock::time_point now);
+    // Returns resets for flows other than the one whose packet caused them, for the daemon to send.
     std::vector<reset> take_resets() { return std::exchange(resets_, {}); }
-    // Targets that left something unanswered since this was last asked, for the daemon to check.
+    // Returns targets that have left packets unanswered since the last call, for the daemon to
+    // probe.
     std::vector<routing_token> take_suspects(clock::time_point now);
 
-    // The target can't be reached since `probed_at`: ends its flows, unless it showed life since.
+    // The target was found unreachable by a probe sent at `probed_at`. Ends its flows, unless it
+    // has responded since.
     void on_target_dead(const discovery::target& target, clock::time_point probed_at,
                         clock::time_point now);
-    // A peer says so: it gets no new flows until then.
+    // A peer reported the target dead: it gets no new flows until then, unless it responds.
     void on_target_reported_dead(const discovery::target& target, clock::time_point until);
-    void on_target_reached(const discovery::target& target) { flows_.note_reached(target.token); }
+    void on_target_reached(const discovery::target& target) { flows_.record_reached(target.token); }
     void expire(clock::time_point now);
 
     const flow_tracker& flows() const { return flows_; }
-    // What callers ask of each service through this instance.
+    // The demand for each service through this instance.
     const demand_by_service& demands() const { return demands_; }
-    // What is asked of the service and its targets, for the metrics. Admission of one flow leaves
-    // out what its route or a cold start bars, and may count shunned targets.
-    service_usage use_of(std::string_view service, clock::time_point now);
+    // The usage of the service and its targets, for the metrics. Admission of a single flow leaves
+    // out targets that its route does not allow or that are held back as cold, and may count
+    // ejected targets.
+    service_usage usage_of(std::string_view service, clock::time_point now);
 
 private:
-    decision on_opening(const segment& content, const directory_state& state,
-                        clock::time_point now);
-    // The targets that may take a flow now, and what is asked of all together.
+    decision on_opening(const segment& packet, const directory_state& state, clock::time_point now);
+    // The targets that a flow may be placed on now, and the usage of the whole service.
     struct eligible_targets {
         std::vector<candidate> candidates;
-        service_usage use;
-        bool is_any_cold = false;   // and barred for that reason alone
-        double capacity_share = 1;  // that this flow may use
+        service_usage usage;
+        bool has_held_back_cold_target = false;  // that is otherwise eligible
+        double capacity_share = 1;               // of the capacity that this flow may use
     };
 
-    const discovery::target* find_recent_opening(const segment& content,
+    const discovery::target* find_recent_opening(const segment& packet,
                                                  clock::time_point now) const;
-    static decision turn_away(const segment& content, placement_failure reason, bool is_any_cold,
-                              bool is_fresh);
-    decision on_later_packet(const segment& content, const directory_state& state,
-                             clock::time_point now);
+    static decision reject(const segment& packet, placement_failure reason,
+                           bool has_held_back_cold_target, bool is_state_fresh);
+    decision on_established_packet(const segment& packet, const directory_state& state,
+                                   clock::time_point now);
     void end_flows_of(const discovery::target& target, clock::time_point now);
-    bool is_left_by_its_route(const segment& content, const directory_state& state,
-                              clock::time_point now) const;
-    std::optional<result_code> hopeless(const discovery::target& target,
-                                        const discovery::route* route,
-                                        const observation& seen) const;
-    const discovery::pool* pool_of(const discovery::route& route, std::uint64_t flow_hash) const;
+    bool is_route_removed_since_opening(const segment& packet, const directory_state& state,
+                                        clock::time_point now) const;
+    std::optional<result_code> reset_reason(const discovery::target& target,
+                                            const discovery::route* route,
+                                            const observation& observed) const;
+    const discovery::pool* choose_pool(const discovery::route& route,
+                                       std::uint64_t flow_hash) const;
     double capacity_share(const discovery::pool& pool, const discovery::route& route,
                           const flow_key& flow, clock::time_point now) const;
-    eligible_targets eligible(const discovery::pool& pool, const discovery::route& route,
-                              const segment& content, clock::time_point now);
-    // The targets that an opening looks at, those of the own zone first.
-    std::vector<const discovery::target*> looked_at(const discovery::pool& pool,
-                                                    const discovery::route& route,
-                                                    std::uint64_t flow_hash) const;
+    eligible_targets find_eligible_targets(const discovery::pool& pool,
+                                           const discovery::route& route, const segment& packet,
+                                           clock::time_point now);
+    // The targets that are considered for an opening, those of the local zone first.
+    std::vector<const discovery::target*> sample_targets(const discovery::pool& pool,
+                                                         const discovery::route& route,
+                                                         std::uint64_t flow_hash) const;
     std::string_view region_of(std::string_view zone) const;
     bool is_allowed(const discovery::route& route, std::string_view zone) const;
-    service_demand_split wants_of(std::string_view service, clock::time_point now) const;
+    service_demand_split demand_of(std::string_view service, clock::time_point now) const;
 
-    place place_;
-    const discovery::directory& known_;
-    cold_gate& cold_;
-    const remote_load& loads_;
+    location location_;
+    const discovery::directory& directory_;
+    cold_gate& cold_gate_;
+    const remote_load& remote_load_;
     flow_tracker flows_;
     load_estimate load_estimate_;
-    demand_by_service demands_;  // of services of the catalogue
+    demand_by_service demands_;  // by name of a service of the catalogue
     std::vector<reset> resets_;
     std::vector<routing_token> suspects_;
     decision_log log_;
--- a/services/bramleybench/overload_fleet.cpp
+++ b/services/bramleybench/overload_fleet.cpp
@@ -92,7 +92,7 @@
     made.digests = std::make_unique<fleet::peer_digests>(known_, name, zone_name(zone), 1);
     made.cold = std::make_unique<steering::cold_gate>(name);
     made.core = std::make_unique<steering::steering>(
-        steering::place{.zone = zone_name(zone), .regions = {}}, known_, *made.cold, *made.digests,
+        steering::location{.zone = zone_name(zone), .regions = {}}, known_, *made.cold, *made.digests,
         log_, observer_);
 }
 
--- a/services/bramleyd/steering_daemon.cpp
+++ b/services/bramleyd/steering_daemon.cpp
@@ -388,7 +388,7 @@
     const auto now = clock::now();
     std::vector<observability::service_gauges> services;
     for (const auto& [service, demand] : steering_.demands()) {
-        const auto use = steering_.use_of(service, now);
+        const auto use = steering_.usage_of(service, now);
         services.push_back({.service = service,
                             .slots = use.slots(),
                             .open_local = use.open_local(),
--- a/tests/fleet_update_source_selector_test.cpp
+++ b/tests/fleet_update_source_selector_test.cpp
@@ -413,7 +413,7 @@
         steering::segment opening;
         opening.flow.caller = {.address = 7, .port = static_cast<std::uint16_t>(i)};
         opening.is_opening = true;
-        flows.note_opening(opening, discovery::token_of(entry.id), start);
+        flows.record_opening(opening, discovery::token_of(entry.id), start);
     }
     const peer_digests digests{known, "near", "home", 1};
     steering::demand_by_service demands;
@@ -432,7 +432,7 @@
         steering::segment opening;
         opening.flow.caller = {.address = 7, .port = port};
         opening.is_opening = true;
-        flows.note_opening(opening, 0xFFFFFF00U + port % 50U, start);
+        flows.record_opening(opening, 0xFFFFFF00U + port % 50U, start);
     }
     wire::peer_message message;
     message.sender = "front-port-louis-10";
--- a/tests/steering_caller_shares_test.cpp
+++ b/tests/steering_caller_shares_test.cpp
@@ -98,31 +98,31 @@
     for (std::uint16_t port = 1; port <= 8; ++port) {
         auto opening = packet(port);
         opening.is_opening = true;
-        flows.note_attempt(opening.flow, start);
-        flows.note_opening(opening, 5, start);
+        flows.record_attempt(opening.flow, start);
+        flows.record_opening(opening, 5, start);
     }
     for (std::uint32_t caller = 2; caller < 6; ++caller) {
-        flows.note_attempt({.caller = {.address = caller, .port = 1}, .route = {}},
+        flows.record_attempt({.caller = {.address = caller, .port = 1}, .route = {}},
                            start + clock::duration{10'000});
     }
     EXPECT_TRUE(flows.callers().is_heavy(heavy));
     auto data = packet(1);
     data.length = 10;
-    flows.note_packet(data, start);
+    flows.record_packet(data, start);
     auto answer = packet(1);
     answer.sequence = 10;
     answer.acknowledged = 10;
-    flows.note_packet(answer, start);
+    flows.record_packet(answer, start);
     auto reset = packet(2);
     reset.is_reset = true;
-    flows.note_packet(reset, start);
+    flows.record_packet(reset, start);
     auto closing = packet(3);
     closing.is_closing = true;
-    flows.note_packet(closing, start);
+    flows.record_packet(closing, start);
     // Another target took the opening's copy, and the rest fall silent.
     auto moved = packet(4);
     moved.token = 6;
-    flows.note_packet(moved, start);
+    flows.record_packet(moved, start);
     flows.expire(start + clock::duration{10'000});
     EXPECT_FALSE(flows.callers().is_heavy(heavy));
     EXPECT_EQ(flows.health(5).open_requests, 0);
--- a/tests/steering_load_test.cpp
+++ b/tests/steering_load_test.cpp
@@ -46,43 +46,43 @@
 TEST(flow_tracker, a_copy_of_an_opening_shuns_its_target_until_it_shows_life) {
     // A target dies. The first caller waits 200 ms for nothing; others shouldn't have to.
     flow_tracker flows;
-    flows.note_opening(opening(1), 11, start);
-    flows.note_unanswered(opening(1).flow, start + clock::duration{200});
+    flows.record_opening(opening(1), 11, start);
+    flows.record_unanswered_opening(opening(1).flow, start + clock::duration{200});
     EXPECT_GT(flows.health(11).ejected_until, start + clock::duration{1'600});
     // A packet of another caller shows that it answers after all.
-    flows.note_opening(opening(2), 11, start + clock::duration{300});
-    flows.note_packet(later(2, 11, 100, 500, 0), start + clock::duration{310});
+    flows.record_opening(opening(2), 11, start + clock::duration{300});
+    flows.record_packet(later(2, 11, 100, 500, 0), start + clock::duration{310});
     EXPECT_EQ(flows.health(11).ejected_until, clock::time_point{});
 }
 
 TEST(flow_tracker, one_lost_packet_does_not_shun_a_target_that_answers_others) {
     flow_tracker flows;
-    flows.note_opening(opening(1), 11, start);
-    flows.note_opening(opening(2), 11, start + clock::duration{50});
-    flows.note_packet(later(2, 11, 100, 500, 0), start + clock::duration{60});
-    flows.note_unanswered(opening(1).flow, start + clock::duration{200});
+    flows.record_opening(opening(1), 11, start);
+    flows.record_opening(opening(2), 11, start + clock::duration{50});
+    flows.record_packet(later(2, 11, 100, 500, 0), start + clock::duration{60});
+    flows.record_unanswered_opening(opening(1).flow, start + clock::duration{200});
     EXPECT_EQ(flows.health(11).ejected_until, clock::time_point{});
 }
 
 TEST(flow_tracker, measures_a_request_from_its_first_byte_to_the_answers_first) {
     flow_tracker flows;
-    flows.note_opening(opening(1), 11, start);
+    flows.record_opening(opening(1), 11, start);
     EXPECT_EQ(flows.health(11).open_requests, 1);
-    flows.note_packet(later(1, 11, 100, 500, 40), start + clock::duration{2});
+    flows.record_packet(later(1, 11, 100, 500, 40), start + clock::duration{2});
     EXPECT_EQ(flows.health(11).open_requests, 1);
-    const auto seen = flows.note_packet(later(1, 11, 140, 900, 0), start + clock::duration{30});
-    EXPECT_TRUE(seen.is_answer);
-    EXPECT_EQ(seen.answer_took, clock::duration{28});
+    const auto seen = flows.record_packet(later(1, 11, 140, 900, 0), start + clock::duration{30});
+    EXPECT_TRUE(seen.is_request_answered);
+    EXPECT_EQ(seen.answer_time, clock::duration{28});
     EXPECT_EQ(flows.health(11).open_requests, 0);
 }
 
 TEST(flow_tracker, knows_data_that_is_sent_again) {
     flow_tracker flows;
-    flows.note_opening(opening(1), 11, start);
+    flows.record_opening(opening(1), 11, start);
     const auto data = later(1, 11, 100, 500, 40);
-    EXPECT_EQ(flows.note_packet(data, start).repeats, 0);
-    EXPECT_EQ(flows.note_packet(data, start).repeats, 1);
-    EXPECT_EQ(flows.note_packet(data, start).repeats, 2);
+    EXPECT_EQ(flows.record_packet(data, start).repeats, 0);
+    EXPECT_EQ(flows.record_packet(data, start).repeats, 1);
+    EXPECT_EQ(flows.record_packet(data, start).repeats, 2);
 }
 
 class silent_target : public ::testing::Test {
@@ -95,19 +95,19 @@
 
     void SetUp() override {
         for (std::uint16_t port = 1; port <= 2; ++port) {
-            flows_.note_opening(opening(port), silent, start);
-            flows_.note_packet(later(port, silent, 100, 500, 40), start);
-            flows_.note_packet(later(port, silent, 100, 500, 40), start + second_copy);
+            flows_.record_opening(opening(port), silent, start);
+            flows_.record_packet(later(port, silent, 100, 500, 40), start);
+            flows_.record_packet(later(port, silent, 100, 500, 40), start + second_copy);
         }
-        flows_.note_opening(opening(9), lively, start);
-        flows_.note_packet(later(9, lively, 100, 500, 40), start);
+        flows_.record_opening(opening(9), lively, start);
+        flows_.record_packet(later(9, lively, 100, 500, 40), start);
     }
     steering::observation send_third_copy(std::uint16_t port) {
-        return flows_.note_packet(later(port, silent, 100, 500, 40), start + third_copy);
+        return flows_.record_packet(later(port, silent, 100, 500, 40), start + third_copy);
     }
     // The lively target answers its caller.
     void answer_another(clock::time_point now) {
-        flows_.note_packet(later(9, lively, 140, 900, 0), now);
+        flows_.record_packet(later(9, lively, 140, 900, 0), now);
     }
 };
 
@@ -130,7 +130,7 @@
 TEST_F(silent_target, is_not_told_from_an_own_link_that_loses_some) {
     // The same, but half of the packets get through: data that was sent again is answered after
     // all.
-    flows_.note_packet(later(9, lively, 100, 500, 40), start + second_copy);
+    flows_.record_packet(later(9, lively, 100, 500, 40), start + second_copy);
     answer_another(start + clock::duration{500});
     EXPECT_FALSE(send_third_copy(1).is_target_silent);
     EXPECT_FALSE(send_third_copy(2).is_target_silent);
@@ -142,12 +142,12 @@
 // later.
 TEST_F(silent_target, is_known_though_a_few_answers_of_others_took_long) {
     for (std::uint16_t port = 20; port < 50; ++port) {
-        flows_.note_packet(later(port, lively, 100, 500, 40), start + second_copy);
+        flows_.record_packet(later(port, lively, 100, 500, 40), start + second_copy);
         const bool is_slow = port < 22;
         if (is_slow) {
-            flows_.note_packet(later(port, lively, 100, 500, 40), start + clock::duration{400});
+            flows_.record_packet(later(port, lively, 100, 500, 40), start + clock::duration{400});
         }
-        flows_.note_packet(later(port, lively, 140, 900, 0), start + clock::duration{500});
+        flows_.record_packet(later(port, lively, 140, 900, 0), start + clock::duration{500});
     }
     EXPECT_FALSE(send_third_copy(1).is_target_silent);
     EXPECT_TRUE(send_third_copy(2).is_target_silent);
@@ -160,15 +160,15 @@
     flow_tracker flows;
     const auto resumed = start + clock::duration{1'000};
     for (std::uint16_t port = 1; port <= 3; ++port) {
-        flows.note_opening(opening(port), silent, start);
-        flows.note_packet(later(port, silent, 100, 500, 0), start);
+        flows.record_opening(opening(port), silent, start);
+        flows.record_packet(later(port, silent, 100, 500, 0), start);
     }
-    flows.note_packet(later(9, lively, 100, 500, 40), start);
-    flows.note_packet(later(9, lively, 140, 900, 0), resumed);
+    flows.record_packet(later(9, lively, 100, 500, 40), start);
+    flows.record_packet(later(9, lively, 140, 900, 0), resumed);
     for (std::uint16_t port = 1; port <= 3; ++port) {
         for (int copy = 0; copy < 3; ++copy) {
             EXPECT_FALSE(
-                flows.note_packet(later(port, silent, 100, 500, 40), resumed).is_target_silent);
+                flows.record_packet(later(port, silent, 100, 500, 40), resumed).is_target_silent);
         }
     }
 }
@@ -177,11 +177,11 @@
 // for nothing just then, would each lose their next request to it.
 TEST_F(silent_target, is_dead_when_three_flows_found_it_silent) {
     for (std::uint16_t port = 3; port <= 6; ++port) {
-        flows_.note_opening(opening(port), silent, start);
+        flows_.record_opening(opening(port), silent, start);
     }
-    flows_.note_packet(later(3, silent, 100, 500, 40), start);
-    flows_.note_packet(later(4, silent, 100, 777, 0), start);
-    flows_.note_packet(later(3, silent, 100, 500, 40), start + second_copy);
+    flows_.record_packet(later(3, silent, 100, 500, 40), start);
+    flows_.record_packet(later(4, silent, 100, 777, 0), start);
+    flows_.record_packet(later(3, silent, 100, 500, 40), start + second_copy);
     answer_another(start + clock::duration{500});
     EXPECT_FALSE(send_third_copy(1).is_target_dead);
     EXPECT_FALSE(send_third_copy(2).is_target_dead);
@@ -227,14 +227,14 @@
     flow_tracker flows;
     constexpr clock::duration third{600};
     for (std::uint16_t port = 1; port <= 3; ++port) {
-        flows.note_opening(opening(port), 11, start);
-        flows.note_packet(later(port, 11, 100, 500, 40), start);
+        flows.record_opening(opening(port), 11, start);
+        flows.record_packet(later(port, 11, 100, 500, 40), start);
     }
-    flows.note_packet(later(3, 11, 140, 900, 0), start + clock::duration{100});
+    flows.record_packet(later(3, 11, 140, 900, 0), start + clock::duration{100});
     for (int copy = 0; copy < 3; ++copy) {
         for (std::uint16_t port = 1; port <= 2; ++port) {
             EXPECT_FALSE(
-                flows.note_packet(later(port, 11, 100, 500, 40), start + third).is_target_silent);
+                flows.record_packet(later(port, 11, 100, 500, 40), start + third).is_target_silent);
         }
     }
 }
@@ -242,12 +242,12 @@
 TEST(flow_tracker, an_acknowledgement_that_comes_with_the_next_request_is_no_sign_of_life) {
     // The answer came seconds before; the target may have died since.
     flow_tracker flows;
-    flows.note_opening(opening(1), 11, start);
-    flows.note_packet(later(1, 11, 100, 500, 40), start);
+    flows.record_opening(opening(1), 11, start);
+    flows.record_packet(later(1, 11, 100, 500, 40), start);
     const auto much_later = start + clock::duration{3'000};
-    const auto seen = flows.note_packet(later(1, 11, 140, 900, 40), much_later);
-    EXPECT_FALSE(seen.is_answer);
-    EXPECT_EQ(flows.health(11).answered_at, start);
+    const auto seen = flows.record_packet(later(1, 11, 140, 900, 40), much_later);
+    EXPECT_FALSE(seen.is_request_answered);
+    EXPECT_EQ(flows.health(11).last_response_at, start);
     EXPECT_EQ(flows.health(11).open_requests, 1);
 }
 
@@ -255,8 +255,8 @@
     // An instance joins, the fabric reshuffles, and a flow's packets go through another instance
     // while a request is open. Counted on, it would keep the target full here for good.
     flow_tracker flows;
-    flows.note_opening(opening(1), 11, start);
-    flows.note_packet(later(1, 11, 100, 500, 40), start);
+    flows.record_opening(opening(1), 11, start);
+    flows.record_packet(later(1, 11, 100, 500, 40), start);
     flows.expire(start + clock::duration{2'100});
     EXPECT_EQ(flows.health(11).open_requests, 0);
 }
@@ -266,8 +266,8 @@
     limits.max_flows = 100;
     flow_tracker flows{limits};
     for (std::uint16_t port = 1; port < 1'000; ++port) {
-        flows.note_opening(opening(port), 11, start);
-        flows.note_packet(later(port, 11, 100, 500, 40), start);
+        flows.record_opening(opening(port), 11, start);
+        flows.record_packet(later(port, 11, 100, 500, 40), start);
     }
     EXPECT_EQ(flows.size(), 100U);
 }
--- a/tests/steering_target_death_test.cpp
+++ b/tests/steering_target_death_test.cpp
@@ -16,18 +16,18 @@
 
 class steering_target_death : public ::testing::Test {
 protected:
-    discovery::directory known_;
-    steering::cold_gate cold_{"self"};
-    fleet::peer_digests digests_{known_, "self", "north", 1};
+    discovery::directory directory_;
+    steering::cold_gate cold_gate_{"self"};
+    fleet::peer_digests digests_{directory_, "self", "north", 1};
     testing::no_log log_;
     observability::steering_metrics metrics_;
     steering::steering subject_{
-        {.zone = "north", .regions = {}}, known_, cold_, digests_, log_, metrics_};
+        {.zone = "north", .regions = {}}, directory_, cold_gate_, digests_, log_, metrics_};
 
     void SetUp() override {
-        known_.apply(testing::board_text(), 1, false, start);
+        directory_.apply(testing::board_text(), 1, false, start);
         for (const auto* id : {"i-1", "i-2"}) {
-            known_.apply(testing::board_target(id, "north", 50), 2, false, start);
+            directory_.apply(testing::board_target(id, "north", 50), 2, false, start);
         }
     }
 
@@ -59,14 +59,14 @@
     }
 
     const discovery::target& target(std::string_view id) const {
-        return *known_.find_target(discovery::token_of(id));
+        return *directory_.find_target(discovery::token_of(id));
     }
 
     std::string target_of_new_flow(std::uint16_t port, clock::time_point now) {
         auto content = packet(port);
         content.is_opening = true;
-        const auto made = deliver(content, now);
-        const auto* forwarded = std::get_if<steering::forward>(&made);
+        const auto outcome = deliver(content, now);
+        const auto* forwarded = std::get_if<steering::forward>(&outcome);
         return forwarded == nullptr ? "" : forwarded->to->entry.id;
     }
 };
