--- a/tests/steering_load_test.cpp
+++ b/tests/steering_load_test.cpp
@@ -1,5 +1,5 @@
-// Steering: what the packets tell of targets, and where flows go when targets are full, slow or
-// silent.
+// Steering: target health inferred from callers' packets, and the placement of flows when targets
+// are full, slow or silent.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -32,8 +32,8 @@
     return result;
 }
 
-segment later(std::uint16_t port, std::uint32_t token, std::uint32_t sequence,
-              std::uint32_t acknowledged, std::uint16_t length) {
+segment established_packet(std::uint16_t port, std::uint32_t token, std::uint32_t sequence,
+                           std::uint32_t acknowledged, std::uint16_t length) {
     segment result = opening(port);
     result.is_opening = false;
     result.token = token;
@@ -43,43 +43,44 @@
     return result;
 }
 
-TEST(flow_tracker, a_copy_of_an_opening_shuns_its_target_until_it_shows_life) {
-    // A target dies. The first caller waits 200 ms for nothing; others shouldn't have to.
+TEST(flow_tracker, a_retransmitted_opening_ejects_its_target_until_it_responds) {
+    // A target dies. The first caller waits 200 ms without result; others must not have to.
     flow_tracker flows;
     flows.record_opening(opening(1), 11, start);
     flows.record_unanswered_opening(opening(1).flow, start + clock::duration{200});
     EXPECT_GT(flows.health(11).ejected_until, start + clock::duration{1'600});
-    // A packet of another caller shows that it answers after all.
+    // A packet of another caller shows that the target responds.
     flows.record_opening(opening(2), 11, start + clock::duration{300});
-    flows.record_packet(later(2, 11, 100, 500, 0), start + clock::duration{310});
+    flows.record_packet(established_packet(2, 11, 100, 500, 0), start + clock::duration{310});
     EXPECT_EQ(flows.health(11).ejected_until, clock::time_point{});
 }
 
-TEST(flow_tracker, one_lost_packet_does_not_shun_a_target_that_answers_others) {
+TEST(flow_tracker, one_lost_packet_does_not_eject_a_target_that_responds_to_others) {
     flow_tracker flows;
     flows.record_opening(opening(1), 11, start);
     flows.record_opening(opening(2), 11, start + clock::duration{50});
-    flows.record_packet(later(2, 11, 100, 500, 0), start + clock::duration{60});
+    flows.record_packet(established_packet(2, 11, 100, 500, 0), start + clock::duration{60});
     flows.record_unanswered_opening(opening(1).flow, start + clock::duration{200});
     EXPECT_EQ(flows.health(11).ejected_until, clock::time_point{});
 }
 
-TEST(flow_tracker, measures_a_request_from_its_first_byte_to_the_answers_first) {
+TEST(flow_tracker, measures_from_the_first_byte_of_the_request_to_that_of_the_response) {
     flow_tracker flows;
     flows.record_opening(opening(1), 11, start);
     EXPECT_EQ(flows.health(11).open_requests, 1);
-    flows.record_packet(later(1, 11, 100, 500, 40), start + clock::duration{2});
+    flows.record_packet(established_packet(1, 11, 100, 500, 40), start + clock::duration{2});
     EXPECT_EQ(flows.health(11).open_requests, 1);
-    const auto seen = flows.record_packet(later(1, 11, 140, 900, 0), start + clock::duration{30});
-    EXPECT_TRUE(seen.is_request_answered);
-    EXPECT_EQ(seen.answer_time, clock::duration{28});
+    const auto observed =
+        flows.record_packet(established_packet(1, 11, 140, 900, 0), start + clock::duration{30});
+    EXPECT_TRUE(observed.is_request_answered);
+    EXPECT_EQ(observed.answer_time, clock::duration{28});
     EXPECT_EQ(flows.health(11).open_requests, 0);
 }
 
-TEST(flow_tracker, knows_data_that_is_sent_again) {
+TEST(flow_tracker, counts_retransmissions_of_data) {
     flow_tracker flows;
     flows.record_opening(opening(1), 11, start);
-    const auto data = later(1, 11, 100, 500, 40);
+    const auto data = established_packet(1, 11, 100, 500, 40);
     EXPECT_EQ(flows.record_packet(data, start).repeats, 0);
     EXPECT_EQ(flows.record_packet(data, start).repeats, 1);
     EXPECT_EQ(flows.record_packet(data, start).repeats, 2);
@@ -87,126 +88,133 @@
 
 class silent_target : public ::testing::Test {
 protected:
-    static constexpr clock::duration second_copy{200};
-    static constexpr clock::duration third_copy{600};
-    static constexpr std::uint32_t silent = 11;
-    static constexpr std::uint32_t lively = 12;
+    static constexpr clock::duration first_retransmission{200};
+    static constexpr clock::duration second_retransmission{600};
+    static constexpr std::uint32_t silent_token = 11;
+    static constexpr std::uint32_t responsive_token = 12;
     flow_tracker flows_;
 
     void SetUp() override {
         for (std::uint16_t port = 1; port <= 2; ++port) {
-            flows_.record_opening(opening(port), silent, start);
-            flows_.record_packet(later(port, silent, 100, 500, 40), start);
-            flows_.record_packet(later(port, silent, 100, 500, 40), start + second_copy);
+            flows_.record_opening(opening(port), silent_token, start);
+            flows_.record_packet(established_packet(port, silent_token, 100, 500, 40), start);
+            flows_.record_packet(established_packet(port, silent_token, 100, 500, 40),
+                                 start + first_retransmission);
         }
-        flows_.record_opening(opening(9), lively, start);
-        flows_.record_packet(later(9, lively, 100, 500, 40), start);
+        flows_.record_opening(opening(9), responsive_token, start);
+        flows_.record_packet(established_packet(9, responsive_token, 100, 500, 40), start);
     }
-    steering::observation send_third_copy(std::uint16_t port) {
-        return flows_.record_packet(later(port, silent, 100, 500, 40), start + third_copy);
+    steering::observation send_second_retransmission(std::uint16_t port) {
+        return flows_.record_packet(established_packet(port, silent_token, 100, 500, 40),
+                                    start + second_retransmission);
     }
-    // The lively target answers its caller.
-    void answer_another(clock::time_point now) {
-        flows_.record_packet(later(9, lively, 140, 900, 0), now);
+    void receive_response_of_other_target(clock::time_point now) {
+        flows_.record_packet(established_packet(9, responsive_token, 140, 900, 0), now);
     }
 };
 
-TEST_F(silent_target, is_known_when_two_flows_send_their_data_a_third_time) {
-    // A target dies; its entry stays for some seconds. Callers send again after 200 and 600 ms,
-    // while other targets answer.
-    answer_another(start + clock::duration{500});
-    EXPECT_FALSE(send_third_copy(1).is_target_silent);
-    EXPECT_TRUE(send_third_copy(2).is_target_silent);
-    EXPECT_GT(flows_.health(silent).ejected_until, start + third_copy);
+TEST_F(silent_target, is_detected_when_two_flows_retransmit_their_data_twice) {
+    // A target dies; its entry stays listed for some seconds. Callers retransmit after 200 and
+    // 600 ms, while other targets respond.
+    receive_response_of_other_target(start + clock::duration{500});
+    EXPECT_FALSE(send_second_retransmission(1).is_target_silent);
+    EXPECT_TRUE(send_second_retransmission(2).is_target_silent);
+    EXPECT_GT(flows_.health(silent_token).ejected_until, start + second_retransmission);
 }
 
-TEST_F(silent_target, is_not_told_from_an_own_link_that_is_full) {
-    // Configurations of 300 KB follow each other, the instance fetches each and passes it on, and
-    // its link of 10 Mbit/s drops callers' packets for a second. No target seems to live; all do.
-    EXPECT_FALSE(send_third_copy(1).is_target_silent);
-    EXPECT_FALSE(send_third_copy(2).is_target_silent);
+TEST_F(silent_target, is_not_detected_while_the_own_link_is_saturated) {
+    // The instance fetches and distributes configurations of 300 KB in quick succession, and its
+    // link of 10 Mbit/s drops callers' packets for a second. All targets live, but none responds.
+    EXPECT_FALSE(send_second_retransmission(1).is_target_silent);
+    EXPECT_FALSE(send_second_retransmission(2).is_target_silent);
 }
 
-TEST_F(silent_target, is_not_told_from_an_own_link_that_loses_some) {
-    // The same, but half of the packets get through: data that was sent again is answered after
-    // all.
-    flows_.record_packet(later(9, lively, 100, 500, 40), start + second_copy);
-    answer_another(start + clock::duration{500});
-    EXPECT_FALSE(send_third_copy(1).is_target_silent);
-    EXPECT_FALSE(send_third_copy(2).is_target_silent);
+TEST_F(silent_target, is_not_detected_while_the_own_link_loses_some_packets) {
+    // The same, but half of the packets get through: the target responds to retransmitted data.
+    flows_.record_packet(established_packet(9, responsive_token, 100, 500, 40),
+                         start + first_retransmission);
+    receive_response_of_other_target(start + clock::duration{500});
+    EXPECT_FALSE(send_second_retransmission(1).is_target_silent);
+    EXPECT_FALSE(send_second_retransmission(2).is_target_silent);
 }
 
-// Four targets of eighteen die at once. The others get more work, and a few of their answers take
-// over 200 ms, so that callers send again what arrives after all. Taken for a loss of this
-// instance's own link, those few answers hid the dead targets until their entries went, seconds
-// later.
-TEST_F(silent_target, is_known_though_a_few_answers_of_others_took_long) {
+// Four targets of eighteen die at once. The others get more work, and a few of their responses take
+// over 200 ms, so that callers retransmit data that was not lost. Those few responses were
+// attributed to losses on this instance's own link, and the dead targets went undetected until
+// their entries were removed seconds later.
+TEST_F(silent_target, is_detected_although_a_few_responses_of_other_targets_are_slow) {
     for (std::uint16_t port = 20; port < 50; ++port) {
-        flows_.record_packet(later(port, lively, 100, 500, 40), start + second_copy);
+        flows_.record_packet(established_packet(port, responsive_token, 100, 500, 40),
+                             start + first_retransmission);
         const bool is_slow = port < 22;
         if (is_slow) {
-            flows_.record_packet(later(port, lively, 100, 500, 40), start + clock::duration{400});
+            flows_.record_packet(established_packet(port, responsive_token, 100, 500, 40),
+                                 start + clock::duration{400});
         }
-        flows_.record_packet(later(port, lively, 140, 900, 0), start + clock::duration{500});
+        flows_.record_packet(established_packet(port, responsive_token, 140, 900, 0),
+                             start + clock::duration{500});
     }
-    EXPECT_FALSE(send_third_copy(1).is_target_silent);
-    EXPECT_TRUE(send_third_copy(2).is_target_silent);
+    EXPECT_FALSE(send_second_retransmission(1).is_target_silent);
+    EXPECT_TRUE(send_second_retransmission(2).is_target_silent);
 }
 
-// An instance stands still for a second. All three copies of some callers' data wait in its socket,
-// and are read at once when it goes on, together with answers' acknowledgements of other flows. The
-// target never had any of them.
-TEST_F(silent_target, is_not_told_from_copies_that_waited_here) {
+// An instance is paused for a second. All three copies of some callers' data are queued in its
+// socket and read at once when it resumes, together with acknowledgements of other flows. The
+// target has not received any of the copies.
+TEST_F(silent_target, is_not_detected_from_copies_queued_in_the_own_socket) {
     flow_tracker flows;
     const auto resumed = start + clock::duration{1'000};
     for (std::uint16_t port = 1; port <= 3; ++port) {
-        flows.record_opening(opening(port), silent, start);
-        flows.record_packet(later(port, silent, 100, 500, 0), start);
+        flows.record_opening(opening(port), silent_token, start);
+        flows.record_packet(established_packet(port, silent_token, 100, 500, 0), start);
     }
-    flows.record_packet(later(9, lively, 100, 500, 40), start);
-    flows.record_packet(later(9, lively, 140, 900, 0), resumed);
+    flows.record_packet(established_packet(9, responsive_token, 100, 500, 40), start);
+    flows.record_packet(established_packet(9, responsive_token, 140, 900, 0), resumed);
     for (std::uint16_t port = 1; port <= 3; ++port) {
         for (int copy = 0; copy < 3; ++copy) {
             EXPECT_FALSE(
-                flows.record_packet(later(port, silent, 100, 500, 40), resumed).is_target_silent);
+                flows.record_packet(established_packet(port, silent_token, 100, 500, 40), resumed)
+                    .is_target_silent);
         }
     }
 }
 
-// A target dies with many flows. Three of them find it silent; the callers of the others, which ask
-// for nothing just then, would each lose their next request to it.
-TEST_F(silent_target, is_dead_when_three_flows_found_it_silent) {
+// A target dies with many flows. Three of them find it silent; the callers of the others are idle
+// and would each lose their next request to it.
+TEST_F(silent_target, is_dead_when_three_flows_find_it_silent) {
     for (std::uint16_t port = 3; port <= 6; ++port) {
-        flows_.record_opening(opening(port), silent, start);
+        flows_.record_opening(opening(port), silent_token, start);
     }
-    flows_.record_packet(later(3, silent, 100, 500, 40), start);
-    flows_.record_packet(later(4, silent, 100, 777, 0), start);
-    flows_.record_packet(later(3, silent, 100, 500, 40), start + second_copy);
-    answer_another(start + clock::duration{500});
-    EXPECT_FALSE(send_third_copy(1).is_target_dead);
-    EXPECT_FALSE(send_third_copy(2).is_target_dead);
-    EXPECT_TRUE(send_third_copy(3).is_target_dead);
-    const auto ended = flows_.end_flows_of(silent);
-    // Flows 1 to 4; 5 and 6 are still opening, and their copies go elsewhere by themselves.
+    flows_.record_packet(established_packet(3, silent_token, 100, 500, 40), start);
+    flows_.record_packet(established_packet(4, silent_token, 100, 777, 0), start);
+    flows_.record_packet(established_packet(3, silent_token, 100, 500, 40),
+                         start + first_retransmission);
+    receive_response_of_other_target(start + clock::duration{500});
+    EXPECT_FALSE(send_second_retransmission(1).is_target_dead);
+    EXPECT_FALSE(send_second_retransmission(2).is_target_dead);
+    EXPECT_TRUE(send_second_retransmission(3).is_target_dead);
+    const auto ended = flows_.end_flows_of(silent_token);
+    // Flows 1 to 4; 5 and 6 are still opening, and their retransmissions go to other targets
+    // anyway.
     ASSERT_EQ(ended.size(), 4U);
-    const auto idle =
-        std::ranges::find(ended, later(4, silent, 0, 0, 0).flow, &steering::reset::flow);
-    ASSERT_NE(idle, ended.end());
-    EXPECT_EQ(idle->sequence, 777U);  // callers take resets near what they acknowledged last
-    EXPECT_EQ(flows_.health(silent).open_requests, 2);
-    EXPECT_EQ(flows_.health(lively).flows, 1);
-    EXPECT_TRUE(flows_.end_flows_of(silent).empty());
+    const auto idle_flow = std::ranges::find(
+        ended, established_packet(4, silent_token, 0, 0, 0).flow, &steering::reset::flow);
+    ASSERT_NE(idle_flow, ended.end());
+    EXPECT_EQ(idle_flow->sequence, 777U);  // callers accept resets near their last acknowledgement
+    EXPECT_EQ(flows_.health(silent_token).open_requests, 2);
+    EXPECT_EQ(flows_.health(responsive_token).flows, 1);
+    EXPECT_TRUE(flows_.end_flows_of(silent_token).empty());
 }
 
-TEST_F(silent_target, is_not_dead_by_one_flow_that_repeats_itself) {
-    // One caller's address is cut off from the target; it sends its data again for seconds.
-    answer_another(start + clock::duration{500});
+TEST_F(silent_target, is_not_dead_when_a_single_flow_keeps_retransmitting) {
+    // One caller's address is cut off from the target; it retransmits its data for seconds.
+    receive_response_of_other_target(start + clock::duration{500});
     for (int copy = 0; copy < 6; ++copy) {
-        EXPECT_FALSE(send_third_copy(1).is_target_dead);
+        EXPECT_FALSE(send_second_retransmission(1).is_target_dead);
     }
 }
 
-TEST(path_health, forgets_what_was_lost_seconds_ago) {
+TEST(path_health, recovers_within_seconds_of_packet_loss) {
     steering::path_health path;
     for (int i = 0; i < 50; ++i) {
         path.on_answer(i % 2 == 0, start + clock::duration{i * 10});
@@ -221,53 +229,56 @@
     EXPECT_FALSE(path.is_sound(now + clock::duration{400}));
 }
 
-TEST(flow_tracker, a_slow_target_that_answers_anybody_is_not_silent) {
-    // A target takes a second for each answer; callers send their data three times meanwhile. It
-    // has acknowledged some other caller since, so it lives.
+TEST(flow_tracker, a_slow_target_that_responds_to_any_caller_is_not_silent) {
+    // A target takes a second for each response, so callers send their data three times. It has
+    // responded to another caller since, so it is alive.
     flow_tracker flows;
-    constexpr clock::duration third{600};
+    constexpr clock::duration second_retransmission{600};
     for (std::uint16_t port = 1; port <= 3; ++port) {
         flows.record_opening(opening(port), 11, start);
-        flows.record_packet(later(port, 11, 100, 500, 40), start);
+        flows.record_packet(established_packet(port, 11, 100, 500, 40), start);
     }
-    flows.record_packet(later(3, 11, 140, 900, 0), start + clock::duration{100});
+    flows.record_packet(established_packet(3, 11, 140, 900, 0), start + clock::duration{100});
     for (int copy = 0; copy < 3; ++copy) {
         for (std::uint16_t port = 1; port <= 2; ++port) {
-            EXPECT_FALSE(
-                flows.record_packet(later(port, 11, 100, 500, 40), start + third).is_target_silent);
+            EXPECT_FALSE(flows
+                             .record_packet(established_packet(port, 11, 100, 500, 40),
+                                            start + second_retransmission)
+                             .is_target_silent);
         }
     }
 }
 
-TEST(flow_tracker, an_acknowledgement_that_comes_with_the_next_request_is_no_sign_of_life) {
-    // The answer came seconds before; the target may have died since.
+TEST(flow_tracker, an_acknowledgement_with_the_next_request_does_not_count_as_a_response) {
+    // The response arrived seconds before; the target may have died since.
     flow_tracker flows;
     flows.record_opening(opening(1), 11, start);
-    flows.record_packet(later(1, 11, 100, 500, 40), start);
+    flows.record_packet(established_packet(1, 11, 100, 500, 40), start);
     const auto much_later = start + clock::duration{3'000};
-    const auto seen = flows.record_packet(later(1, 11, 140, 900, 40), much_later);
-    EXPECT_FALSE(seen.is_request_answered);
+    const auto observed = flows.record_packet(established_packet(1, 11, 140, 900, 40), much_later);
+    EXPECT_FALSE(observed.is_request_answered);
     EXPECT_EQ(flows.health(11).last_response_at, start);
     EXPECT_EQ(flows.health(11).open_requests, 1);
 }
 
-TEST(flow_tracker, a_flow_that_went_on_elsewhere_does_not_count_for_long) {
-    // An instance joins, the fabric reshuffles, and a flow's packets go through another instance
-    // while a request is open. Counted on, it would keep the target full here for good.
+TEST(flow_tracker, a_request_expires_when_its_flow_moves_to_another_instance) {
+    // An instance joins, the fabric redistributes flows, and a flow's packets go through another
+    // instance while a request is open. Without expiry that request would keep the target at
+    // capacity here permanently.
     flow_tracker flows;
     flows.record_opening(opening(1), 11, start);
-    flows.record_packet(later(1, 11, 100, 500, 40), start);
+    flows.record_packet(established_packet(1, 11, 100, 500, 40), start);
     flows.expire(start + clock::duration{2'100});
     EXPECT_EQ(flows.health(11).open_requests, 0);
 }
 
-TEST(flow_tracker, a_flood_of_openings_does_not_grow_it_without_bound) {
+TEST(flow_tracker, a_flood_of_openings_does_not_exceed_the_flow_limit) {
     steering::flow_tracker_limits limits;
     limits.max_flows = 100;
     flow_tracker flows{limits};
     for (std::uint16_t port = 1; port < 1'000; ++port) {
         flows.record_opening(opening(port), 11, start);
-        flows.record_packet(later(port, 11, 100, 500, 40), start);
+        flows.record_packet(established_packet(port, 11, 100, 500, 40), start);
     }
     EXPECT_EQ(flows.size(), 100U);
 }
@@ -296,14 +307,14 @@
     }
 }
 
-TEST_F(steering_placement, spills_to_other_zones_only_when_its_own_has_no_room) {
-    // Callers of one zone come five times as often; the others' targets are idle.
+TEST_F(steering_placement, uses_other_zones_only_when_its_own_has_no_capacity) {
+    // One zone has five times the demand of the others, whose targets are idle.
     add(true).has_room = false;
     add(false);
     EXPECT_EQ(chosen(1), 1U);
 }
 
-TEST_F(steering_placement, the_same_flow_is_placed_alike_by_all_and_a_copy_elsewhere) {
+TEST_F(steering_placement, is_deterministic_for_a_flow_and_moves_retransmissions_to_other_targets) {
     for (int i = 0; i < 6; ++i) {
         add(true);
     }
@@ -315,55 +326,55 @@
 }
 
 TEST_F(steering_placement, spreads_flows_evenly) {
-    constexpr int number = 5;
-    constexpr int flows = 10'000;
-    for (int i = 0; i < number; ++i) {
+    constexpr int target_count = 5;
+    constexpr int flow_count = 10'000;
+    for (int i = 0; i < target_count; ++i) {
         add(true);
     }
-    std::vector<int> counts(number);
-    for (std::uint64_t hash = 0; hash < flows; ++hash) {
+    std::vector<int> counts(target_count);
+    for (std::uint64_t hash = 0; hash < flow_count; ++hash) {
         ++counts[chosen(hash * 0x9E3779B97F4A7C15ULL)];
     }
-    constexpr double mean = static_cast<double>(flows) / number;
+    constexpr double mean = static_cast<double>(flow_count) / target_count;
     for (const int each : counts) {
         EXPECT_NEAR(each, mean, mean / 8);
     }
 }
 
-TEST_F(steering_placement, says_that_all_are_saturated) {
+TEST_F(steering_placement, distinguishes_saturation_from_the_absence_of_targets) {
     add(true).has_room = false;
     add(false).has_room = false;
     EXPECT_EQ(std::get<placement_failure>(choose(candidates_, 1, 0)), placement_failure::saturated);
     EXPECT_EQ(std::get<placement_failure>(choose({}, 1, 0)), placement_failure::no_target);
 }
 
-TEST_F(steering_placement, tries_a_shunned_target_when_nothing_else_is_left) {
+TEST_F(steering_placement, uses_an_ejected_target_when_there_is_no_other) {
     add(true).is_ejected = true;
     EXPECT_EQ(chosen(1), 0U);
 }
 
-// Three of four targets left an opening unanswered, since this instance's link loses packets. The
-// fourth is full; callers were refused, though the three live and are idle.
-TEST_F(steering_placement, shunned_targets_take_what_the_others_cannot_when_most_are_shunned) {
+// Three of four targets left an opening unanswered because this instance's link loses packets. The
+// fourth is at capacity; callers were rejected although the three are alive and idle.
+TEST_F(steering_placement, uses_ejected_targets_for_overflow_when_most_are_ejected) {
     add(true).has_room = false;
     for (int i = 0; i < 3; ++i) {
         add(true).is_ejected = true;
     }
     EXPECT_NE(chosen(1), 0U);
-    // While the fourth has room, it is preferred.
+    // While the fourth has capacity, it is preferred.
     candidates_[0].has_room = true;
     EXPECT_EQ(chosen(1), 0U);
 }
 
-TEST_F(steering_placement, a_minority_that_is_shunned_stays_so_though_the_others_are_full) {
-    // One of three has died; the others are full. A caller that is sent to it would wait in vain.
+TEST_F(steering_placement, does_not_use_an_ejected_minority_when_the_others_are_at_capacity) {
+    // One of three has died; the others are at capacity. A caller sent to it would get no response.
     add(true).has_room = false;
     add(true).has_room = false;
     add(true).is_ejected = true;
     EXPECT_EQ(std::get<placement_failure>(choose(candidates_, 1, 0)), placement_failure::saturated);
 }
 
-TEST_F(steering_placement, the_lighter_of_two_is_taken) {
+TEST_F(steering_placement, prefers_the_less_loaded_of_two_targets) {
     add(true).load = 3;
     add(true).load = 1;
     for (std::uint64_t hash = 0; hash < 20; ++hash) {
--- a/tests/steering_target_death_test.cpp
+++ b/tests/steering_target_death_test.cpp
@@ -1,5 +1,5 @@
-// Steering: which packets make a target suspect, and what becomes of the flows of one that was
-// found dead.
+// Steering: which packets make a target suspect, and how the flows of a target that was found dead
+// are ended.
 #include <gtest/gtest.h>
 
 #include "fleet/peer_digests.h"
@@ -21,7 +21,7 @@
     fleet::peer_digests digests_{directory_, "self", "north", 1};
     testing::no_log log_;
     observability::steering_metrics metrics_;
-    steering::steering subject_{
+    steering::steering core_{
         {.zone = "north", .regions = {}}, directory_, cold_gate_, digests_, log_, metrics_};
 
     void SetUp() override {
@@ -31,31 +31,31 @@
         }
     }
 
-    static segment packet(std::uint16_t port) {
+    static segment packet_from(std::uint16_t port) {
         segment result;
         result.flow = {.caller = {.address = 7, .port = port}, .route = testing::board_route};
         result.sequence = 100;
         return result;
     }
 
-    steering::decision deliver(const segment& content, clock::time_point now) {
-        return subject_.on_segment(content, {.is_complete = true, .confirmed = now}, now);
+    steering::decision deliver(const segment& packet, clock::time_point now) {
+        return core_.on_segment(packet, {.is_complete = true, .confirmed = now}, now);
     }
 
-    // A flow of the target that asks for nothing.
-    void open_flow(std::uint16_t port, std::string_view id, clock::time_point now) {
-        auto content = packet(port);
-        content.token = discovery::token_of(id);
-        content.acknowledged = 500;
-        deliver(content, now);
+    // Opens an idle flow to the target.
+    void open_idle_flow(std::uint16_t port, std::string_view id, clock::time_point now) {
+        auto packet = packet_from(port);
+        packet.token = discovery::token_of(id);
+        packet.acknowledged = 500;
+        deliver(packet, now);
     }
 
     segment request(std::uint16_t port, std::string_view id) const {
-        auto content = packet(port);
-        content.token = discovery::token_of(id);
-        content.acknowledged = 500;
-        content.length = 40;
-        return content;
+        auto packet = packet_from(port);
+        packet.token = discovery::token_of(id);
+        packet.acknowledged = 500;
+        packet.length = 40;
+        return packet;
     }
 
     const discovery::target& target(std::string_view id) const {
@@ -63,105 +63,105 @@
     }
 
     std::string target_of_new_flow(std::uint16_t port, clock::time_point now) {
-        auto content = packet(port);
-        content.is_opening = true;
-        const auto outcome = deliver(content, now);
+        auto packet = packet_from(port);
+        packet.is_opening = true;
+        const auto outcome = deliver(packet, now);
         const auto* forwarded = std::get_if<steering::forward>(&outcome);
         return forwarded == nullptr ? "" : forwarded->to->entry.id;
     }
 };
 
-TEST_F(steering_target_death, a_repeated_packet_makes_its_target_suspect) {
-    open_flow(1, "i-1", start);
+TEST_F(steering_target_death, a_retransmitted_request_makes_its_target_suspect) {
+    open_idle_flow(1, "i-1", start);
     deliver(request(1, "i-1"), start + clock::duration{10});
-    EXPECT_TRUE(subject_.take_suspects(start + clock::duration{10}).empty());
+    EXPECT_TRUE(core_.take_suspects(start + clock::duration{10}).empty());
     const auto repeated = start + clock::duration{210};
     deliver(request(1, "i-1"), repeated);
-    EXPECT_EQ(subject_.take_suspects(repeated).size(), 1U);
-    EXPECT_TRUE(subject_.take_suspects(repeated).empty());
+    EXPECT_EQ(core_.take_suspects(repeated).size(), 1U);
+    EXPECT_TRUE(core_.take_suspects(repeated).empty());
 }
 
-TEST_F(steering_target_death, packets_that_waited_in_the_own_socket_make_no_target_suspect) {
-    open_flow(1, "i-1", start);
+TEST_F(steering_target_death, packets_queued_in_the_own_socket_make_no_target_suspect) {
+    open_idle_flow(1, "i-1", start);
     deliver(request(1, "i-1"), start + clock::duration{400});
     deliver(request(1, "i-1"), start + clock::duration{401});
-    EXPECT_TRUE(subject_.take_suspects(start + clock::duration{401}).empty());
+    EXPECT_TRUE(core_.take_suspects(start + clock::duration{401}).empty());
 }
 
-TEST_F(steering_target_death, a_target_that_answered_another_flow_meanwhile_is_not_suspect) {
-    open_flow(1, "i-1", start);
+TEST_F(steering_target_death, a_target_that_has_since_responded_to_another_flow_is_not_suspect) {
+    open_idle_flow(1, "i-1", start);
     deliver(request(1, "i-1"), start + clock::duration{10});
-    open_flow(2, "i-1", start + clock::duration{100});
+    open_idle_flow(2, "i-1", start + clock::duration{100});
     deliver(request(1, "i-1"), start + clock::duration{210});
-    EXPECT_TRUE(subject_.take_suspects(start + clock::duration{210}).empty());
+    EXPECT_TRUE(core_.take_suspects(start + clock::duration{210}).empty());
 }
 
-TEST_F(steering_target_death, a_copy_of_an_opening_makes_its_target_suspect) {
-    auto opening = packet(1);
+TEST_F(steering_target_death, a_retransmitted_opening_makes_its_target_suspect) {
+    auto opening = packet_from(1);
     opening.is_opening = true;
     deliver(opening, start);
     opening.copy = 1;
     deliver(opening, start + clock::duration{200});
-    EXPECT_EQ(subject_.take_suspects(start + clock::duration{200}).size(), 1U);
+    EXPECT_EQ(core_.take_suspects(start + clock::duration{200}).size(), 1U);
 }
 
-TEST_F(steering_target_death,
-       an_opening_that_its_caller_does_not_go_on_with_makes_its_target_suspect) {
-    // Guards against targets whose processes have ended and that refuse each caller, unseen here.
-    const auto refused_by = target_of_new_flow(1, start);
-    EXPECT_TRUE(subject_.take_suspects(start + clock::duration{49}).empty());
-    const auto suspects = subject_.take_suspects(start + clock::duration{50});
+TEST_F(steering_target_death, an_opening_that_no_packet_follows_makes_its_target_suspect) {
+    // Guards against targets whose processes have ended: their machines refuse each caller
+    // directly, which this instance does not see.
+    const auto chosen_id = target_of_new_flow(1, start);
+    EXPECT_TRUE(core_.take_suspects(start + clock::duration{49}).empty());
+    const auto suspects = core_.take_suspects(start + clock::duration{50});
     ASSERT_EQ(suspects.size(), 1U);
-    EXPECT_EQ(suspects.front(), discovery::token_of(refused_by));
-    EXPECT_TRUE(subject_.take_suspects(start + clock::duration{100}).empty());
+    EXPECT_EQ(suspects.front(), discovery::token_of(chosen_id));
+    EXPECT_TRUE(core_.take_suspects(start + clock::duration{100}).empty());
 }
 
-TEST_F(steering_target_death, an_opening_that_its_caller_goes_on_with_makes_no_target_suspect) {
-    const auto taken_by = target_of_new_flow(1, start);
-    open_flow(1, taken_by, start + clock::duration{4});
-    EXPECT_TRUE(subject_.take_suspects(start + clock::duration{100}).empty());
+TEST_F(steering_target_death, an_opening_that_a_packet_follows_makes_no_target_suspect) {
+    const auto chosen_id = target_of_new_flow(1, start);
+    open_idle_flow(1, chosen_id, start + clock::duration{4});
+    EXPECT_TRUE(core_.take_suspects(start + clock::duration{100}).empty());
 }
 
-TEST_F(steering_target_death, all_flows_of_a_dead_target_end_also_those_that_ask_for_nothing) {
-    // Guards against requests that may not be repeated and are sent into a flow that leads nowhere.
-    open_flow(1, "i-1", start);
-    open_flow(2, "i-1", start);
-    open_flow(3, "i-2", start);
-    subject_.on_target_dead(target("i-1"), start + clock::duration{200},
-                            start + clock::duration{300});
-    EXPECT_EQ(subject_.take_resets().size(), 2U);
+TEST_F(steering_target_death, all_flows_of_a_dead_target_are_reset_including_idle_ones) {
+    // Guards against loss of requests that may not be repeated and are sent on a flow to a dead
+    // target.
+    open_idle_flow(1, "i-1", start);
+    open_idle_flow(2, "i-1", start);
+    open_idle_flow(3, "i-2", start);
+    core_.on_target_dead(target("i-1"), start + clock::duration{200}, start + clock::duration{300});
+    EXPECT_EQ(core_.take_resets().size(), 2U);
 }
 
-TEST_F(steering_target_death, a_target_that_showed_life_since_the_probe_keeps_its_flows) {
-    open_flow(1, "i-1", start);
-    open_flow(2, "i-1", start + clock::duration{250});
-    subject_.on_target_dead(target("i-1"), start + clock::duration{200},
-                            start + clock::duration{300});
-    EXPECT_TRUE(subject_.take_resets().empty());
+TEST_F(steering_target_death, a_target_that_has_responded_since_the_probe_keeps_its_flows) {
+    open_idle_flow(1, "i-1", start);
+    open_idle_flow(2, "i-1", start + clock::duration{250});
+    core_.on_target_dead(target("i-1"), start + clock::duration{200}, start + clock::duration{300});
+    EXPECT_TRUE(core_.take_resets().empty());
 }
 
-TEST_F(steering_target_death, a_flow_that_was_not_seen_before_ends_with_its_first_repetition) {
-    // Guards against flows that reach this instance after the routers have dealt them anew.
-    subject_.on_target_dead(target("i-1"), start, start + clock::duration{100});
-    const auto first = deliver(request(1, "i-1"), start + clock::duration{500});
-    EXPECT_TRUE(std::holds_alternative<steering::forward>(first));
-    const auto second = deliver(request(1, "i-1"), start + clock::duration{700});
-    EXPECT_TRUE(std::holds_alternative<steering::refuse>(second));
+TEST_F(steering_target_death,
+       a_flow_of_a_dead_target_not_seen_before_is_reset_on_its_first_retransmission) {
+    // Guards against hanging flows that the routers have moved to this instance.
+    core_.on_target_dead(target("i-1"), start, start + clock::duration{100});
+    const auto original = deliver(request(1, "i-1"), start + clock::duration{500});
+    EXPECT_TRUE(std::holds_alternative<steering::forward>(original));
+    const auto retransmission = deliver(request(1, "i-1"), start + clock::duration{700});
+    EXPECT_TRUE(std::holds_alternative<steering::refuse>(retransmission));
 }
 
-TEST_F(steering_target_death, what_peers_say_keeps_new_flows_away_until_the_target_shows_life) {
-    subject_.on_target_reported_dead(target("i-1"), start + clock::duration{3'000});
+TEST_F(steering_target_death, a_target_reported_dead_by_peers_gets_no_new_flows_until_it_responds) {
+    core_.on_target_reported_dead(target("i-1"), start + clock::duration{3'000});
     for (std::uint16_t port = 10; port < 30; ++port) {
         EXPECT_EQ(target_of_new_flow(port, start + clock::duration{10}), "i-2");
     }
-    // Its flows go on.
-    open_flow(1, "i-1", start + clock::duration{20});
-    EXPECT_TRUE(subject_.take_resets().empty());
-    int on_it = 0;
+    // Its established flows continue.
+    open_idle_flow(1, "i-1", start + clock::duration{20});
+    EXPECT_TRUE(core_.take_resets().empty());
+    int placed_on_target = 0;
     for (std::uint16_t port = 30; port < 60; ++port) {
-        on_it += target_of_new_flow(port, start + clock::duration{30}) == "i-1" ? 1 : 0;
+        placed_on_target += target_of_new_flow(port, start + clock::duration{30}) == "i-1" ? 1 : 0;
     }
-    EXPECT_GT(on_it, 0);
+    EXPECT_GT(placed_on_target, 0);
 }
 
 }  // namespace
