--- a/benchmarks/steering_benchmark.cpp
+++ b/benchmarks/steering_benchmark.cpp
@@ -27,7 +27,7 @@
 class fleet_member {
 public:
     fleet_member(std::int64_t targets, std::int64_t instances) {
-        known_.apply(testing::board_text(), 1, false, start);
+        known_.apply(testing::board_catalogue(), 1, false, start);
         for (int i = 0; i < targets; ++i) {
             const auto entry =
                 testing::board_target("i-" + std::to_string(i), zone_name(i), ample_slots);
@@ -90,7 +90,7 @@
     steering::cold_gate cold_{"instance-0"};
     std::unique_ptr<fleet::peer_digests> digests_ =
         std::make_unique<fleet::peer_digests>(known_, "instance-0", zone_name(0), 1);
-    testing::no_log log_;
+    testing::null_event_log log_;
     observability::steering_metrics metrics_;
     steering::steering subject_{
         {.zone = zone_name(0), .regions = {}}, known_, cold_, *digests_, log_, metrics_};
--- a/tests/fleet_target_failure_detector_test.cpp
+++ b/tests/fleet_target_failure_detector_test.cpp
@@ -83,7 +83,7 @@
     };
 
     fleet_target_failure_detector() {
-        known_.apply(testing::board_text(), 1, false, start - clock::duration{1});
+        known_.apply(testing::board_catalogue(), 1, false, start - clock::duration{1});
         for (const auto* id : {"i-1", "i-2", "i-3"}) {
             known_.apply(testing::board_target(id, "north", 2), 1, false,
                          start - clock::duration{1});
--- a/tests/golden_sessions_test.cpp
+++ b/tests/golden_sessions_test.cpp
@@ -1,5 +1,5 @@
-// Golden files of whole sessions: tests/golden/*.session holds the script (lines that begin with
-// "> "), each followed by exactly what it causes. BRAMLEYTRACK_REWRITE_GOLDEN=1 writes them anew.
+// Golden files of whole sessions: tests/golden/*.session holds the commands (lines that begin with
+// "> "), each followed by its exact output. BRAMLEYTRACK_REWRITE_GOLDEN=1 regenerates the files.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -19,7 +19,8 @@
 
 const fs::path golden_directory = fs::path{BRAMLEYTRACK_SOURCE_DIRECTORY} / "tests" / "golden";
 
-// Runs the script lines of `recorded` and returns the whole session as it is now. Comments stay.
+// Runs the commands of `recorded` and returns the session with their current output. Keeps
+// comments.
 template <typename session_type>
 std::string replay(const std::string& recorded) {
     session_type session;
@@ -58,7 +59,7 @@
     check<testing::session>(golden_directory / (GetParam() + ".session"));
 }
 
-// Of an instance that routes by token.
+// Sessions of instances that route by token.
 class golden_steering_sessions : public ::testing::TestWithParam<std::string> {};
 
 TEST_P(golden_steering_sessions, replays_exactly) {
--- a/tests/steering_large_service_test.cpp
+++ b/tests/steering_large_service_test.cpp
@@ -64,7 +64,7 @@
     discovery::directory known_;
     steering::cold_gate cold_{"self"};
     fleet::peer_digests digests_{known_, "self", "north", 1};
-    testing::no_log log_;
+    testing::null_event_log log_;
     observability::steering_metrics metrics_;
     steering::steering subject_{{.zone = "north", .regions = {{"north", "a"}, {"south", "a"}}},
                                 known_,
@@ -75,7 +75,7 @@
     int next_flow_ = 0;
 
     void SetUp() override {
-        known_.apply(testing::board_text(), 1, false, start);
+        known_.apply(testing::board_catalogue(), 1, false, start);
         for (const auto* zone : {"north", "south"}) {
             for (int i = 0; i < targets_by_zone; ++i) {
                 const auto entry = testing::board_target(zone + std::to_string(i), zone, 2);
--- a/tests/steering_target_death_test.cpp
+++ b/tests/steering_target_death_test.cpp
@@ -19,13 +19,13 @@
     discovery::directory directory_;
     steering::cold_gate cold_gate_{"self"};
     fleet::peer_digests digests_{directory_, "self", "north", 1};
-    testing::no_log log_;
+    testing::null_event_log log_;
     observability::steering_metrics metrics_;
     steering::steering core_{
         {.zone = "north", .regions = {}}, directory_, cold_gate_, digests_, log_, metrics_};
 
     void SetUp() override {
-        directory_.apply(testing::board_text(), 1, false, start);
+        directory_.apply(testing::board_catalogue(), 1, false, start);
         for (const auto* id : {"i-1", "i-2"}) {
             directory_.apply(testing::board_target(id, "north", 50), 2, false, start);
         }
--- a/tests/support/steering_parts.h
+++ b/tests/support/steering_parts.h
@@ -1,4 +1,4 @@
-// What tests and benchmarks of a single steering core share.
+// Fixtures for tests and benchmarks of a single steering core.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace bramleytrack::testing {
 
-class no_log final : public event_log {
+class null_event_log final : public event_log {
 public:
     bool admits(log_kind /*kind*/, clock::time_point /*now*/) override { return false; }
     void write(const log_event& /*event*/) override {}
@@ -16,16 +16,16 @@
 
 constexpr discovery::endpoint board_route{.address = 9, .port = 443};
 
-// One route, which leads to the service "board" and whose requests may run once only.
-inline discovery::catalogue board_text() {
-    discovery::catalogue text;
-    text.version = 1;
-    auto& route = text.routes.emplace_back();
+// A catalogue with one route, to the service "board", whose requests aren't idempotent.
+inline discovery::catalogue board_catalogue() {
+    discovery::catalogue catalogue;
+    catalogue.version = 1;
+    auto& route = catalogue.routes.emplace_back();
     route.name = "feed";
     route.address = board_route;
     route.splits = {{.service = "board", .weight = 1}};
-    text.services.push_back({.name = "board"});
-    return text;
+    catalogue.services.push_back({.name = "board"});
+    return catalogue;
 }
 
 inline discovery::target_entry board_target(const std::string& id, const std::string& zone,
--- a/tests/support/steering_session.cpp
+++ b/tests/support/steering_session.cpp
@@ -14,8 +14,8 @@
 constexpr std::uint32_t opening_sequence = 1000;
 constexpr std::uint32_t answer_size = 500;
 
-// The value of "key=value" among the arguments.
-std::string text_of(const std::vector<std::string>& arguments, const std::string& key) {
+// Returns the value of the argument "key=value", or an empty string.
+std::string text_argument(const std::vector<std::string>& arguments, const std::string& key) {
     for (const auto& each : arguments) {
         if (each.starts_with(key + "=")) {
             return each.substr(key.size() + 1);
@@ -24,8 +24,9 @@
     return {};
 }
 
-int number_of(const std::vector<std::string>& arguments, const std::string& key, int fallback) {
-    const auto text = text_of(arguments, key);
+int number_argument(const std::vector<std::string>& arguments, const std::string& key,
+                    int fallback) {
+    const auto text = text_argument(arguments, key);
     return text.empty() ? fallback : std::stoi(text);
 }
 
@@ -42,69 +43,72 @@
     {"zone_back", &steering_session::take_zone_back},
     {"open", &steering_session::open},
     {"data", &steering_session::send_data},
-    {"again", &steering_session::send_again},
+    {"again", &steering_session::resend},
     {"ack", &steering_session::acknowledge},
     {"close", &steering_session::close},
-    {"stranger", &steering_session::send_as_stranger},
+    {"stranger", &steering_session::send_with_token},
     {"advance", &steering_session::advance},
     {"instance", &steering_session::add_instance},
     {"catch_up", &steering_session::catch_up},
     {"digests", &steering_session::exchange_digests}};
 
-steering_session::node::node(steering_session& owner, std::string own_name, const std::string& zone)
+steering_session::instance_node::instance_node(steering_session& owner, std::string own_name,
+                                               const std::string& zone)
     : session{owner},
       name{std::move(own_name)},
-      digests{known, name, zone, 1},
-      cold{name},
-      subject{{.zone = zone, .regions = {{"north", "home"}, {"south", "home"}}},
-              known,
-              cold,
-              digests,
-              owner,
-              owner},
-      inquiries{known, name, zone, *this} {}
+      digests{directory, name, zone, 1},
+      gate{name},
+      core{{.zone = zone, .regions = {{"north", "home"}, {"south", "home"}}},
+           directory,
+           gate,
+           digests,
+           owner,
+           owner},
+      failure_detector{directory, name, zone, *this} {}
 
-void steering_session::node::probe(const discovery::target& target) {
-    inquiries.on_probe(target.token, !session.is_mute(target.entry.id), session.now_);
+void steering_session::instance_node::probe(const discovery::target& target) {
+    failure_detector.on_probe(target.token, !session.is_mute(target.entry.id), session.now_);
 }
 
-void steering_session::node::ask(const discovery::peer_entry& peer,
-                                 discovery::routing_token token) {
-    session.instance_named(peer.name).inquiries.on_probe_request(name, token, session.now_);
+void steering_session::instance_node::ask(const discovery::peer_entry& peer,
+                                          discovery::routing_token token) {
+    session.find_instance(peer.name).failure_detector.on_probe_request(name, token, session.now_);
 }
 
-void steering_session::node::answer(const discovery::peer_entry& peer,
-                                    discovery::routing_token token, bool is_reachable) {
-    session.instance_named(peer.name).inquiries.on_answer(name, token, is_reachable, session.now_);
+void steering_session::instance_node::answer(const discovery::peer_entry& peer,
+                                             discovery::routing_token token, bool is_reachable) {
+    session.find_instance(peer.name).failure_detector.on_answer(name, token, is_reachable,
+                                                                session.now_);
 }
 
-void steering_session::node::on_dead(const discovery::target& target, clock::time_point probed_at,
-                                     std::span<const std::string> /*confirmed_by*/,
-                                     clock::time_point now) {
+void steering_session::instance_node::on_dead(const discovery::target& target,
+                                              clock::time_point probed_at,
+                                              std::span<const std::string> /*confirmed_by*/,
+                                              clock::time_point now) {
     session.transcript_.push_back("  " + name + ": " + target.entry.id + " can't be reached");
-    subject.on_target_dead(target, probed_at, now);
-    session.note_resets(*this);
+    core.on_target_dead(target, probed_at, now);
+    session.print_resets(*this);
 }
 
-void steering_session::node::on_reported_dead(const discovery::target& target,
-                                              clock::time_point until) {
-    subject.on_target_reported_dead(target, until);
+void steering_session::instance_node::on_reported_dead(const discovery::target& target,
+                                                       clock::time_point until) {
+    core.on_target_reported_dead(target, until);
 }
 
-void steering_session::node::on_reached(const discovery::target& target) {
-    subject.on_target_reached(target);
+void steering_session::instance_node::on_reached(const discovery::target& target) {
+    core.on_target_reached(target);
 }
 
 steering_session::steering_session() : now_{epoch} {
-    nodes_.push_back(std::make_unique<node>(*this, "self", "north"));
-    nodes_.front()->cold.on_registered(epoch);
+    instances_.push_back(std::make_unique<instance_node>(*this, "self", "north"));
+    instances_.front()->gate.on_registered(epoch);
 }
 
 void steering_session::run(const std::string& line) {
     std::istringstream stream{line};
     std::string name;
     stream >> name;
-    words arguments;
+    argument_list arguments;
     for (std::string each; stream >> each;) {
         arguments.push_back(each);
     }
@@ -115,7 +119,7 @@
     (this->*found->second)(arguments);
 }
 
-void steering_session::add_route(const words& arguments) {
+void steering_session::add_route(const argument_list& arguments) {
     discovery::route route;
     route.name = arguments[0];
     route.address = {.address = route_address,
@@ -141,127 +145,127 @@
     publish_catalogue(arguments);
 }
 
-void steering_session::drop_route(const words& arguments) {
+void steering_session::drop_route(const argument_list& arguments) {
     std::erase_if(catalogue_.routes, [&](const auto& each) { return each.name == arguments[0]; });
     publish_catalogue(arguments);
 }
 
-void steering_session::publish_catalogue(const words& arguments) {
+void steering_session::publish_catalogue(const argument_list& arguments) {
     ++catalogue_.version;
-    apply(catalogue_, arguments);
+    publish(catalogue_, arguments);
 }
 
-void steering_session::apply(const discovery::record& subject, const words& arguments) {
-    published_.push_back({.content = subject, .revision = ++revision_});
-    const auto to = "," + text_of(arguments, "to") + ",";
-    for (auto& each : nodes_) {
+void steering_session::publish(const discovery::record& record, const argument_list& arguments) {
+    published_.push_back({.content = record, .revision = ++revision_});
+    const auto to = "," + text_argument(arguments, "to") + ",";
+    for (auto& each : instances_) {
         if (to == ",," || to.find("," + each->name + ",") != std::string::npos) {
-            tell(*each, published_.back());
+            apply_to(*each, published_.back());
         } else {
-            each->missed.push_back(published_.size() - 1);
+            each->missed_records.push_back(published_.size() - 1);
         }
     }
 }
 
-void steering_session::tell(node& to, const publication& what) {
-    to.known.apply(what.content, what.revision, false, now_);
+void steering_session::apply_to(instance_node& to, const publication& record) {
+    to.directory.apply(record.content, record.revision, false, now_);
 }
 
-steering_session::node& steering_session::instance_named(const std::string& name) {
+steering_session::instance_node& steering_session::find_instance(const std::string& name) {
     const auto found =
-        std::ranges::find_if(nodes_, [&name](const auto& each) { return each->name == name; });
-    if (found == nodes_.end()) {
+        std::ranges::find_if(instances_, [&name](const auto& each) { return each->name == name; });
+    if (found == instances_.end()) {
         throw std::invalid_argument{"no instance is called " + name};
     }
     return **found;
 }
 
-void steering_session::add_instance(const words& arguments) {
-    nodes_.push_back(std::make_unique<node>(*this, arguments[0], arguments[1]));
-    auto& made = *nodes_.back();
-    made.cold.on_registered(now_);
+void steering_session::add_instance(const argument_list& arguments) {
+    instances_.push_back(std::make_unique<instance_node>(*this, arguments[0], arguments[1]));
+    auto& added = *instances_.back();
+    added.gate.on_registered(now_);
     for (const auto& each : published_) {
-        tell(made, each);
+        apply_to(added, each);
     }
-    if (nodes_.size() == 2) {
-        apply(
+    if (instances_.size() == 2) {
+        publish(
             discovery::peer_entry{
                 .name = "self", .zone = "north", .address = "", .pull_address = ""},
             {});
     }
-    apply(
+    publish(
         discovery::peer_entry{
-            .name = made.name, .zone = arguments[1], .address = "", .pull_address = ""},
+            .name = added.name, .zone = arguments[1], .address = "", .pull_address = ""},
         {});
 }
 
-void steering_session::catch_up(const words& arguments) {
-    auto& subject = instance_named(arguments[0]);
-    for (const auto each : std::exchange(subject.missed, {})) {
-        tell(subject, published_[each]);
+void steering_session::catch_up(const argument_list& arguments) {
+    auto& instance = find_instance(arguments[0]);
+    for (const auto each : std::exchange(instance.missed_records, {})) {
+        apply_to(instance, published_[each]);
     }
 }
 
-void steering_session::exchange_digests(const words& /*arguments*/) {
-    for (const auto& from : nodes_) {
-        wire::digest content;
-        content.loads = from->digests.loads_of(from->subject.flows());
-        const auto dead = from->inquiries.take_verdicts(now_);
-        for (const auto& to : nodes_) {
-            to->digests.on_digest(from->name, content, now_);
-            for (const auto& each : dead) {
-                const bool has_flows = to->subject.flows().health(each.token).flows > 0;
-                to->inquiries.on_reported_dead(from->name, each, has_flows, now_);
+void steering_session::exchange_digests(const argument_list& /*arguments*/) {
+    for (const auto& from : instances_) {
+        wire::digest digest;
+        digest.loads = from->digests.loads_of(from->core.flows());
+        const auto verdicts = from->failure_detector.take_verdicts(now_);
+        for (const auto& to : instances_) {
+            to->digests.on_digest(from->name, digest, now_);
+            for (const auto& each : verdicts) {
+                const bool has_flows = to->core.flows().health(each.token).flows > 0;
+                to->failure_detector.on_reported_dead(from->name, each, has_flows, now_);
             }
         }
     }
 }
 
-void steering_session::add_target(const words& arguments) {
+void steering_session::add_target(const argument_list& arguments) {
     auto& entry = entries_[arguments[0]];
     entry.id = arguments[0];
     entry.service = arguments[1];
     entry.zone = arguments[2];
     entry.slots = 2;
-    entry.cold_for = clock::duration{number_of(arguments, "cold", 0)};
-    apply(entry, arguments);
+    entry.cold_for = clock::duration{number_argument(arguments, "cold", 0)};
+    publish(entry, arguments);
 }
 
-void steering_session::drain_target(const words& arguments) {
+void steering_session::drain_target(const argument_list& arguments) {
     auto& entry = entries_.at(arguments[0]);
     entry.state = discovery::target_state::draining;
-    apply(entry, arguments);
+    publish(entry, arguments);
 }
 
-void steering_session::remove_target(const words& arguments) {
-    apply(discovery::target_removed{arguments[0]}, arguments);
+void steering_session::remove_target(const argument_list& arguments) {
+    publish(discovery::target_removed{arguments[0]}, arguments);
 }
 
-void steering_session::mute_target(const words& arguments) {
-    mute_.push_back(arguments[0]);
+void steering_session::mute_target(const argument_list& arguments) {
+    mute_targets_.push_back(arguments[0]);
 }
 
-void steering_session::take_zone_out(const words& arguments) {
-    apply(discovery::zone_out{.zone = arguments[0]}, arguments);
+void steering_session::take_zone_out(const argument_list& arguments) {
+    publish(discovery::zone_out{.zone = arguments[0]}, arguments);
 }
 
-void steering_session::take_zone_back(const words& arguments) {
-    apply(discovery::zone_out{.zone = arguments[0], .is_out = false}, arguments);
+void steering_session::take_zone_back(const argument_list& arguments) {
+    publish(discovery::zone_out{.zone = arguments[0], .is_out = false}, arguments);
 }
 
-steering::segment steering_session::packet_of(const std::string& flow) const {
-    const auto& known = flows_.at(flow);
-    auto packet = known.last;
+steering::segment steering_session::next_packet_of(const std::string& flow) const {
+    const auto& caller = flows_.at(flow);
+    auto packet = caller.last;
     packet.is_opening = false;
     packet.copy = 0;
     packet.length = 0;
-    packet.token = known.token;
-    packet.sequence = known.next_sequence;
-    packet.acknowledged = known.acknowledged;
+    packet.token = caller.token;
+    packet.sequence = caller.next_sequence;
+    packet.acknowledged = caller.acknowledged;
     return packet;
 }
 
-void steering_session::open(const words& arguments) {
+void steering_session::open(const argument_list& arguments) {
     auto& flow = flows_[arguments[0]];
     const auto route = std::ranges::find(catalogue_.routes, arguments[1], &discovery::route::name);
     steering::segment packet;
@@ -272,86 +276,86 @@
                             ? discovery::endpoint{.address = route_address, .port = 1}
                             : route->address;
     packet.sequence = opening_sequence;
-    packet.copy = static_cast<std::uint32_t>(number_of(arguments, "copy", 0));
+    packet.copy = static_cast<std::uint32_t>(number_argument(arguments, "copy", 0));
     packet.is_opening = true;
     flow.last = packet;
     flow.next_sequence = opening_sequence;
     deliver(arguments[0], packet, arguments);
 }
 
-void steering_session::send_data(const words& arguments) {
-    auto packet = packet_of(arguments[0]);
-    packet.length = static_cast<std::uint16_t>(number_of(arguments, "bytes", 100));
+void steering_session::send_data(const argument_list& arguments) {
+    auto packet = next_packet_of(arguments[0]);
+    packet.length = static_cast<std::uint16_t>(number_argument(arguments, "bytes", 100));
     auto& flow = flows_.at(arguments[0]);
     flow.next_sequence += packet.length;
     flow.last = packet;
     deliver(arguments[0], packet, arguments);
 }
 
-void steering_session::send_again(const words& arguments) {
+void steering_session::resend(const argument_list& arguments) {
     deliver(arguments[0], flows_.at(arguments[0]).last, arguments);
 }
 
-void steering_session::acknowledge(const words& arguments) {
-    deliver(arguments[0], packet_of(arguments[0]), arguments);
+void steering_session::acknowledge(const argument_list& arguments) {
+    deliver(arguments[0], next_packet_of(arguments[0]), arguments);
 }
 
-void steering_session::close(const words& arguments) {
-    auto packet = packet_of(arguments[0]);
+void steering_session::close(const argument_list& arguments) {
+    auto packet = next_packet_of(arguments[0]);
     packet.is_closing = true;
     deliver(arguments[0], packet, arguments);
 }
 
-void steering_session::send_as_stranger(const words& arguments) {
-    auto packet = packet_of(arguments[0]);
+void steering_session::send_with_token(const argument_list& arguments) {
+    auto packet = next_packet_of(arguments[0]);
     packet.token = static_cast<discovery::routing_token>(std::stoul(arguments[1]));
     deliver(arguments[0], packet, arguments);
 }
 
-void steering_session::advance(const words& arguments) {
+void steering_session::advance(const argument_list& arguments) {
     now_ += clock::duration{std::stoi(arguments[0])};
-    for (auto& each : nodes_) {
-        each->subject.expire(now_);
-        each->inquiries.expire(now_);
-        each->known.expire(now_);
+    for (auto& each : instances_) {
+        each->core.expire(now_);
+        each->failure_detector.expire(now_);
+        each->directory.expire(now_);
     }
 }
 
-void steering_session::deliver(const std::string& flow, const steering::segment& content,
-                               const words& arguments) {
-    const auto via = text_of(arguments, "via");
-    auto& subject = via.empty() ? *nodes_.front() : instance_named(via);
-    const auto made =
-        subject.subject.on_segment(content, {.is_complete = true, .confirmed = now_}, now_);
+void steering_session::deliver(const std::string& flow, const steering::segment& packet,
+                               const argument_list& arguments) {
+    const auto via = text_argument(arguments, "via");
+    auto& instance = via.empty() ? *instances_.front() : find_instance(via);
+    const auto outcome =
+        instance.core.on_segment(packet, {.is_complete = true, .confirmed = now_}, now_);
     auto line = std::to_string((now_ - epoch).count()) + " flow " + flow +
                 (via.empty() ? "" : " via " + via) + ": ";
-    if (const auto* forwarded = std::get_if<steering::forward>(&made)) {
+    if (const auto* forwarded = std::get_if<steering::forward>(&outcome)) {
         const auto& id = forwarded->to->entry.id;
         line += "to " + id;
-        auto& known = flows_.at(flow);
-        if (!is_mute(id) && (content.is_opening || content.length > 0)) {
-            known.token = forwarded->to->token;
-            known.acknowledged += answer_size;
+        auto& caller = flows_.at(flow);
+        if (!is_mute(id) && (packet.is_opening || packet.length > 0)) {
+            caller.token = forwarded->to->token;
+            caller.acknowledged += answer_size;
             line += ", which answers";
         }
-    } else if (const auto* refused = std::get_if<steering::refuse>(&made)) {
+    } else if (const auto* refused = std::get_if<steering::refuse>(&outcome)) {
         line += "reset, " + std::string{name_of(refused->reason)};
     } else {
-        line += "dropped, " + std::string{name_of(std::get<steering::drop>(made).reason)};
+        line += "dropped, " + std::string{name_of(std::get<steering::drop>(outcome).reason)};
     }
     transcript_.push_back(line);
-    note_resets(subject);
-    for (const auto token : subject.subject.take_suspects(now_)) {
-        subject.inquiries.suspect(token, now_);
+    print_resets(instance);
+    for (const auto token : instance.core.take_suspects(now_)) {
+        instance.failure_detector.suspect(token, now_);
     }
 }
 
 bool steering_session::is_mute(const std::string& target) const {
-    return std::ranges::find(mute_, target) != mute_.end();
+    return std::ranges::find(mute_targets_, target) != mute_targets_.end();
 }
 
-void steering_session::note_resets(node& of) {
-    for (const auto& each : of.subject.take_resets()) {
+void steering_session::print_resets(instance_node& instance) {
+    for (const auto& each : instance.core.take_resets()) {
         transcript_.push_back("  flow " +
                               std::to_string(each.flow.caller.port - first_caller_port) +
                               ": reset, sequence " + std::to_string(each.sequence));
@@ -366,14 +370,15 @@
     transcript_.push_back(event.line());
 }
 
-void steering_session::on_opening_answered(const discovery::target& by, clock::duration took) {
-    transcript_.push_back("  observed: " + by.entry.id + " took a flow after " +
-                          std::to_string(took.count()) + " ms");
+void steering_session::on_opening_answered(const discovery::target& target,
+                                           clock::duration latency) {
+    transcript_.push_back("  observed: " + target.entry.id + " took a flow after " +
+                          std::to_string(latency.count()) + " ms");
 }
 
-void steering_session::on_answer(const discovery::target& by, clock::duration took) {
-    transcript_.push_back("  observed: " + by.entry.id + " answered after " +
-                          std::to_string(took.count()) + " ms");
+void steering_session::on_answer(const discovery::target& target, clock::duration latency) {
+    transcript_.push_back("  observed: " + target.entry.id + " answered after " +
+                          std::to_string(latency.count()) + " ms");
 }
 
 void steering_session::on_decision(std::string_view /*service*/,
