--- a/services/bramleyd/steering_daemon.cpp
+++ b/services/bramleyd/steering_daemon.cpp
@@ -399,7 +399,7 @@
     const auto now = clock::now();
     std::vector<observability::service_gauges> services;
     for (const auto& [service, demand] : steering_.demands()) {
-        const auto usage = steering_.use_of(service, now);
+        const auto usage = steering_.usage_of(service, now);
         services.push_back({.service = service,
                             .slots = usage.slots(),
                             .open_local = usage.open_local(),
