--- a/tests/pause_guard_test.cpp
+++ b/tests/pause_guard_test.cpp
@@ -1,4 +1,4 @@
-// Steering: an instance that stood still doesn't send old openings to targets.
+// Detection of a paused process, so that stale openings aren't forwarded to targets.
 #include "steering/pause_guard.h"
 
 #include <gtest/gtest.h>
@@ -12,9 +12,9 @@
     return start + clock::duration{milliseconds};
 }
 
-TEST(pause_guard, openings_that_waited_are_told_from_new_ones) {
-    // The instance is frozen for four seconds. Openings wait in its socket; their callers' copies
-    // were answered through other instances long ago.
+TEST(pause_guard, openings_that_waited_are_distinguished_from_new_ones) {
+    // The instance is frozen for four seconds. Openings wait in its socket, and the copies that
+    // their callers sent have long been answered through other instances.
     steering::pause_guard guard;
     guard.on_event(at(0));
     guard.on_event(at(100));
@@ -26,8 +26,8 @@
 }
 
 TEST(pause_guard, a_pause_is_reported_once_whichever_event_comes_first) {
-    // After the freeze a packet is read before the timer runs. The timer has to learn of the pause
-    // all the same: the watch of the store may have died meanwhile.
+    // After the freeze a packet is read before the timer runs. The pause must still be reported to
+    // the timer, since the watch of the store may have been lost meanwhile.
     steering::pause_guard guard;
     guard.on_event(at(0));
     guard.on_event(at(4'000));
@@ -36,7 +36,7 @@
     EXPECT_EQ(guard.take_pause(), clock::duration{0});
 }
 
-TEST(pause_guard, a_busy_moment_is_no_pause) {
+TEST(pause_guard, a_short_gap_is_no_pause) {
     steering::pause_guard guard;
     guard.on_event(at(0));
     guard.on_event(at(200));
