--- a/libraries/steering/flow_tracker.cpp
+++ b/libraries/steering/flow_tracker.cpp
@@ -190,7 +190,7 @@
     health.silent_flows += flow.counts_as_silent ? 0 : 1;
     flow.counts_as_silent = true;
     result.is_target_silent =
-        health.silent_flows >= limits_.min_silent_flows && path_.is_sound(now);
+        health.silent_flows >= limits_.min_silent_flows && path_.is_healthy(now);
     result.is_target_dead =
         result.is_target_dead ||
         (result.is_target_silent && health.silent_flows >= limits_.min_silent_flows_of_dead);
@@ -327,7 +327,7 @@
     health.silent_flows = 0;
     health.ejected_until = {};
     health.answered_at = now;
-    path_.on_life(now);
+    path_.on_response(now);
 }
 
 }  // namespace bramleytrack::steering
--- a/libraries/steering/path_health.h
+++ b/libraries/steering/path_health.h
@@ -1,10 +1,10 @@
-// Whether callers' data reaches targets from this instance at all.
+// Detects whether this instance's own network path to the targets loses packets.
 //
-// Failure: this instance's own link is full, and what it forwards is lost. Every target looks
-// silent from here, and flows of targets that live would be reset. It shows in the answers: none
-// come, or many come only to data that callers had to send again. A few such answers are no sign of
-// it, since a target that takes over 200 ms makes callers send again too; a rule that took any of
-// them for a loss would leave the flows of dead targets to their deadlines.
+// Guards against a saturated uplink: what this instance forwards is lost, every target looks silent
+// from here, and flows of live targets would be reset. It shows in the answers: either none arrive,
+// or many of those that arrive are to data that callers had to retransmit. A few such answers are
+// no evidence of loss, since callers also retransmit to a target that takes over 200 ms; a rule
+// that took any of them for loss would leave the flows of dead targets to their deadlines.
 #pragma once
 
 #include "base/clock.h"
@@ -12,13 +12,13 @@
 namespace bramleytrack::steering {
 
 struct path_limits {
-    // Third copies come 400 ms after second ones: another target must have answered meanwhile.
-    clock::duration life{300};
-    // A link that loses one packet in ten makes callers repeat one request in ten. Three copies are
-    // then lost together once in a thousand times, and those of two flows of one target, with
-    // nothing of it arriving in between, practically never.
-    double most_repeated = 0.1;
-    // Answers count by half after so long. Full links last for seconds.
+    // Third copies come 400 ms after second ones: another target must have responded meanwhile.
+    clock::duration max_response_age{300};
+    // A link that loses one packet in ten makes callers retransmit one request in ten. Three copies
+    // are then lost together once in a thousand times, and those of two flows of one target, with
+    // nothing from it arriving in between, practically never.
+    double max_repeated_share = 0.1;
+    // The weight of an answer halves in this time. Links stay saturated for seconds.
     clock::duration half_life{1'000};
 };
 
@@ -27,19 +27,20 @@
     explicit path_health(path_limits limits = {}) : limits_{limits} {}
 
     // A target acknowledged or sent anything.
-    void on_life(clock::time_point now) { answered_at_ = now; }
-    // It answered a request, which the caller had sent again if `was_repeated`. Acknowledgements of
-    // long transfers don't count: they come from callers, whatever this instance's link loses.
+    void on_response(clock::time_point now) { answered_at_ = now; }
+    // A target answered a request, which the caller had retransmitted if `was_repeated`.
+    // Acknowledgements of long transfers don't count: they come from callers, whatever this
+    // instance's link loses.
     void on_answer(bool was_repeated, clock::time_point now);
-    bool is_sound(clock::time_point now) const;
-    // When any target last answered anything here.
+    bool is_healthy(clock::time_point now) const;
+    // When any target last responded through this instance.
     clock::time_point answered_at() const { return answered_at_; }
 
 private:
     path_limits limits_;
     clock::time_point answered_at_;
-    double answers_ = 0;   // as of counted_at_
-    double repeated_ = 0;  // of them
+    double answers_ = 0;           // decayed, as of counted_at_
+    double repeated_answers_ = 0;  // those of them to retransmitted requests
     clock::time_point counted_at_;
 };
 
--- a/tests/steering_load_test.cpp
+++ b/tests/steering_load_test.cpp
@@ -211,14 +211,14 @@
     for (int i = 0; i < 50; ++i) {
         path.on_answer(i % 2 == 0, start + clock::duration{i * 10});
     }
-    EXPECT_FALSE(path.is_sound(start + clock::duration{500}));
+    EXPECT_FALSE(path.is_healthy(start + clock::duration{500}));
     auto now = start + clock::duration{500};
     for (int i = 0; i < 400; ++i) {
         now += clock::duration{10};
         path.on_answer(false, now);
     }
-    EXPECT_TRUE(path.is_sound(now));
-    EXPECT_FALSE(path.is_sound(now + clock::duration{400}));
+    EXPECT_TRUE(path.is_healthy(now));
+    EXPECT_FALSE(path.is_healthy(now + clock::duration{400}));
 }
 
 TEST(flow_tracker, a_slow_target_that_answers_anybody_is_not_silent) {
