--- a/libraries/steering/caller_shares.h
+++ b/libraries/steering/caller_shares.h
@@ -1,12 +1,12 @@
-// Which callers have more of the targets' work than their fair share.
+// Finds callers that use more of the targets' capacity than their fair share.
 //
-// Load that it answers: one caller opens most of the flows while the targets have more to do than
-// they bear. Without it whoever asks most often gets nearly all room that becomes free, and callers
-// that ask for little are refused.
+// Handles one caller that opens most of the flows while the targets are overloaded. Without this,
+// the caller that asks most often gets nearly all capacity that becomes free, and callers with
+// little demand are refused.
 //
-// A caller is an address. What counts is its requests that are open now, as seen here: work on the
-// targets, whether it comes in many short flows or few long ones. The fabric spreads flows evenly,
-// so what one instance sees of a caller is a fair sample.
+// A caller is identified by its address, and measured by its requests that are open through this
+// instance: that is work on the targets, whether in many short flows or few long ones. The network
+// spreads flows evenly over instances, so one instance sees a fair sample of each caller.
 #pragma once
 
 #include <cstddef>
@@ -18,15 +18,15 @@
 namespace bramleytrack::steering {
 
 struct caller_share_limits {
-    // Above the mean of all callers: chance alone brings one caller of ten to twice the mean when
-    // each has one or two requests open here.
+    // A multiple of the mean of all callers. When each has one or two requests open here, one
+    // caller of ten reaches twice the mean by chance alone.
     double tolerance = 2;
-    // Fewer say nothing about a caller.
-    int least_open = 3;
-    // A caller that was refused asks again within a second or two, and counts until then: otherwise
-    // one that has pushed all others out would look like the only one.
-    clock::duration memory{2'000};
-    // Beyond these, further callers count as light ones; a stranger can invent any number.
+    // A caller with fewer open requests is never heavy: the sample is too small.
+    int min_open_requests = 3;
+    // A refused caller retries within a second or two and counts until then: otherwise a caller
+    // that has crowded out all others would look like the only one.
+    clock::duration retention{2'000};
+    // Further callers count as light: a malicious sender can forge any number of addresses.
     std::size_t max_callers = 20'000;
 };
 
@@ -34,7 +34,7 @@
 public:
     explicit caller_shares(caller_share_limits limits = {}) : limits_{limits} {}
 
-    void on_asked(std::uint32_t caller, clock::time_point now);
+    void on_attempt(std::uint32_t caller, clock::time_point now);
     void on_request_begun(std::uint32_t caller);
     void on_request_ended(std::uint32_t caller);
     void expire(clock::time_point now);
@@ -45,13 +45,13 @@
 
 private:
     struct share {
-        int open = 0;
-        clock::time_point asked_at;
+        int open_requests = 0;
+        clock::time_point last_attempt_at;
     };
 
     caller_share_limits limits_;
     std::unordered_map<std::uint32_t, share> callers_;
-    int open_ = 0;  // the sum over callers_
+    int open_requests_ = 0;  // the sum over callers_
 };
 
 }  // namespace bramleytrack::steering
--- a/libraries/steering/flow_tracker.h
+++ b/libraries/steering/flow_tracker.h
@@ -109,7 +109,7 @@
 
     // An opening packet came, whatever becomes of it.
     void note_attempt(const flow_key& key, clock::time_point now) {
-        callers_.on_asked(key.caller.address, now);
+        callers_.on_attempt(key.caller.address, now);
     }
     // The token of the target that got this very opening so short a time ago that the copy must
     // have waited in this instance's socket; nothing otherwise.
--- a/tests/steering_caller_shares_test.cpp
+++ b/tests/steering_caller_shares_test.cpp
@@ -1,4 +1,4 @@
-// Steering: who has more of the targets' work than their fair share.
+// Detection of callers that use more of the targets' capacity than their fair share.
 #include <gtest/gtest.h>
 
 #include "steering/flow_tracker.h"
@@ -10,87 +10,87 @@
 using steering::caller_shares;
 
 constexpr clock::time_point start = to_time_point(1'000'000);
-constexpr std::uint32_t heavy = 1;
+constexpr std::uint32_t heavy_caller = 1;
 
-void begin(caller_shares& shares, std::uint32_t caller, int requests) {
+void begin_requests(caller_shares& shares, std::uint32_t caller, int requests) {
     for (int i = 0; i < requests; ++i) {
-        shares.on_asked(caller, start);
+        shares.on_attempt(caller, start);
         shares.on_request_begun(caller);
     }
 }
 
 TEST(caller_shares, a_caller_well_above_the_mean_is_heavy) {
     caller_shares shares;
-    begin(shares, heavy, 8);
+    begin_requests(shares, heavy_caller, 8);
     for (std::uint32_t caller = 2; caller < 6; ++caller) {
-        begin(shares, caller, 1);
+        begin_requests(shares, caller, 1);
     }
-    EXPECT_TRUE(shares.is_heavy(heavy));
+    EXPECT_TRUE(shares.is_heavy(heavy_caller));
     EXPECT_FALSE(shares.is_heavy(2));
     EXPECT_FALSE(shares.is_heavy(99));
 }
 
-TEST(caller_shares, a_lone_caller_may_use_all_there_is) {
+TEST(caller_shares, a_lone_caller_may_use_all_capacity) {
     caller_shares shares;
-    begin(shares, heavy, 100);
-    EXPECT_FALSE(shares.is_heavy(heavy));
+    begin_requests(shares, heavy_caller, 100);
+    EXPECT_FALSE(shares.is_heavy(heavy_caller));
 }
 
-TEST(caller_shares, few_requests_say_nothing) {
+TEST(caller_shares, a_caller_with_few_requests_is_not_heavy) {
     caller_shares shares;
-    begin(shares, heavy, 2);
+    begin_requests(shares, heavy_caller, 2);
     for (std::uint32_t caller = 2; caller < 20; ++caller) {
-        shares.on_asked(caller, start);
+        shares.on_attempt(caller, start);
     }
-    EXPECT_FALSE(shares.is_heavy(heavy));
+    EXPECT_FALSE(shares.is_heavy(heavy_caller));
 }
 
-// One caller has taken all room, and the others are refused each time. They have nothing open, and
-// if only open requests counted, the one would look like the only caller and go on.
-TEST(caller_shares, callers_that_were_refused_count_until_they_have_gone) {
+// One caller uses all capacity, and the others are refused each time. They have no open requests,
+// so if only open requests counted, that caller would look like the only one and not be limited.
+TEST(caller_shares, refused_callers_count_until_they_stop_retrying) {
     caller_shares shares;
-    begin(shares, heavy, 10);
+    begin_requests(shares, heavy_caller, 10);
     for (std::uint32_t caller = 2; caller < 6; ++caller) {
-        shares.on_asked(caller, start);
+        shares.on_attempt(caller, start);
     }
-    EXPECT_TRUE(shares.is_heavy(heavy));
+    EXPECT_TRUE(shares.is_heavy(heavy_caller));
     shares.expire(start + clock::duration{2'500});
     EXPECT_EQ(shares.size(), 1U);
-    EXPECT_FALSE(shares.is_heavy(heavy));
+    EXPECT_FALSE(shares.is_heavy(heavy_caller));
 }
 
-TEST(caller_shares, requests_that_end_are_given_back) {
+TEST(caller_shares, ended_requests_no_longer_count) {
     caller_shares shares;
-    begin(shares, heavy, 8);
+    begin_requests(shares, heavy_caller, 8);
     for (std::uint32_t caller = 2; caller < 6; ++caller) {
-        begin(shares, caller, 1);
+        begin_requests(shares, caller, 1);
     }
     for (int i = 0; i < 8; ++i) {
-        shares.on_request_ended(heavy);
+        shares.on_request_ended(heavy_caller);
     }
-    EXPECT_FALSE(shares.is_heavy(heavy));
-    // One end too many must not take from the others.
-    shares.on_request_ended(heavy);
-    begin(shares, heavy, 8);
-    EXPECT_TRUE(shares.is_heavy(heavy));
+    EXPECT_FALSE(shares.is_heavy(heavy_caller));
+    // A surplus end must not lower the total below the requests of the others.
+    shares.on_request_ended(heavy_caller);
+    begin_requests(shares, heavy_caller, 8);
+    EXPECT_TRUE(shares.is_heavy(heavy_caller));
 }
 
-TEST(caller_shares, strangers_cannot_grow_it) {
+TEST(caller_shares, forged_addresses_cannot_grow_it_without_bound) {
     caller_shares shares{caller_share_limits{.max_callers = 100}};
     for (std::uint32_t caller = 0; caller < 10'000; ++caller) {
-        begin(shares, caller, 1);
+        begin_requests(shares, caller, 1);
     }
     EXPECT_EQ(shares.size(), 100U);
     EXPECT_FALSE(shares.is_heavy(9'999));
 }
 
-// Openings, answers, resets and callers that fall silent each end a request in another place of the
-// code. One that is forgotten makes its caller look heavy for good.
+// Openings, answers, resets and time-outs of silent callers each end a request in a different place
+// of the code. A request whose end is not counted makes its caller look heavy forever.
 TEST(caller_shares, every_way_in_which_a_request_ends_is_counted) {
     steering::flow_tracker flows;
     const auto packet = [](std::uint16_t port) {
         steering::segment result;
-        result.flow = {.caller = {.address = heavy, .port = port},
+        result.flow = {.caller = {.address = heavy_caller, .port = port},
                        .route = {.address = 9, .port = 443}};
         result.token = 5;
         return result;
@@ -105,7 +105,7 @@
         flows.note_attempt({.caller = {.address = caller, .port = 1}, .route = {}},
                            start + clock::duration{10'000});
     }
-    EXPECT_TRUE(flows.callers().is_heavy(heavy));
+    EXPECT_TRUE(flows.callers().is_heavy(heavy_caller));
     auto data = packet(1);
     data.length = 10;
     flows.note_packet(data, start);
@@ -119,12 +119,12 @@
     auto closing = packet(3);
     closing.is_closing = true;
     flows.note_packet(closing, start);
-    // Another target took the opening's copy, and the rest fall silent.
+    // Another target accepted the opening's copy, and the remaining flows fall silent.
     auto moved = packet(4);
     moved.token = 6;
     flows.note_packet(moved, start);
     flows.expire(start + clock::duration{10'000});
-    EXPECT_FALSE(flows.callers().is_heavy(heavy));
+    EXPECT_FALSE(flows.callers().is_heavy(heavy_caller));
     EXPECT_EQ(flows.health(5).open_requests, 0);
 }
 
