--- a/libraries/steering/cold_gate.h
+++ b/libraries/steering/cold_gate.h
@@ -1,14 +1,16 @@
-// How many new flows a cold target gets, over all instances together.
+// Limits the rate of new flows to a cold target, over all instances together.
 //
-// A target that has just started bears a few new flows a second. Instances can't count together in
-// time, so one of them alone opens flows to it: the owner, found by rendezvous hashing over the
-// instances that are registered. Views of that list differ for up to a second after a change, and
-// then two instances may think so; each therefore uses less than half of what the target bears.
+// A target that has just started can take only a few new flows a second. Instances can't keep a
+// common count in time, so only one of them, the owner, opens flows to it; the owner is found by
+// rendezvous hashing over the registered instances. Views of that list differ for up to a second
+// after a change, and two instances may then both act as the owner; each therefore uses less than
+// half of what the target can take.
 //
-// Failure: an owner is cut off and its entry lapses; its successor is cut off in turn; each goes on
-// opening flows, and the third brings the target over what it bears. So an instance that hears
-// neither the store nor a peer owns nothing, and a successor waits until whoever left the list must
-// have noticed that.
+// Owners that lose their connections one after the other are guarded against as well: the first
+// one's entry expires, its successor is cut off in turn, and each goes on opening flows, so that
+// the third brings the target over its limit. An instance that receives nothing from the store or
+// any peer therefore owns no target, and a successor waits until the instance that left the list
+// must have noticed that it is cut off.
 #pragma once
 
 #include <string>
@@ -21,12 +23,13 @@
 namespace bramleytrack::steering {
 
 struct cold_gate_limits {
-    // Of what the target bears in a second; two owners at once stay below the whole.
+    // The share of the target's rate limit that one owner uses; two owners at once stay below the
+    // limit.
     double share = 0.4;
     double burst = 2;
-    // After its own registration shows up, an instance waits until it must have seen those of all
-    // others that started with it.
-    clock::duration settle{1'000};
+    // After its own registration becomes visible, an instance waits until it must have received
+    // those of all instances that started at the same time.
+    clock::duration settling_time{1'000};
 };
 
 class cold_gate {
@@ -34,21 +37,21 @@
     explicit cold_gate(std::string self, cold_gate_limits limits = {})
         : self_{std::move(self)}, limits_{limits} {}
 
-    // This instance's registration is known to be in the store, or has lapsed.
+    // This instance's registration is confirmed to be in the store, or has expired.
     void on_registered(clock::time_point now);
     void on_registration_lost() { is_registered_ = false; }
 
-    // Whether this instance hears neither the store nor a peer.
+    // Whether this instance receives nothing from the store or any peer.
     void set_isolated(bool is_isolated) { is_isolated_ = is_isolated; }
 
     // Whether this instance may open a flow to the cold target now.
-    bool may_open(const discovery::target& subject, double flows_per_second,
-                  const discovery::directory& known, clock::time_point now);
-    void note_opened(const discovery::target& subject, clock::time_point now);
+    bool may_open(const discovery::target& target, double flows_per_second,
+                  const discovery::directory& directory, clock::time_point now);
+    void on_flow_opened(const discovery::target& target, clock::time_point now);
     void expire(clock::time_point now);
 
 private:
-    bool is_owner(const discovery::target& subject, const discovery::directory& known) const;
+    bool is_owner(const discovery::target& target, const discovery::directory& directory) const;
 
     std::string self_;
     cold_gate_limits limits_;
--- a/libraries/steering/steering.cpp
+++ b/libraries/steering/steering.cpp
@@ -123,7 +123,7 @@
         return finish(turn_away(content, *none, targets.is_any_cold, is_fresh));
     }
     const auto& target = *targets.candidates[std::get<std::size_t>(choice)].subject;
-    cold_.note_opened(target, now);
+    cold_.on_flow_opened(target, now);
     flows_.note_opening(content, target.token, now);
     load_estimate_.note_placed(target.entry.service);
     return finish(forward{&target});
