--- a/libraries/steering/admission.h
+++ b/libraries/steering/admission.h
@@ -1,18 +1,20 @@
-// Whether one more flow may be opened to a service, and to which of its targets.
+// Admission control: decides whether one more flow may be opened to a service, and to which of its
+// targets.
 //
-// Load that it answers: more callers than the targets bear. A flow that is open goes on sending,
-// and its requests can't be refused, so what is let in decides the load of the next minute.
-// Without it the first second of a rush fills all queues with flows that stay: every answer is
-// late, while the targets are never idle.
+// Handles more demand than the targets can serve. An open flow goes on sending, and its requests
+// can't be refused, so the admitted flows decide the load of the next minute. Without this limit,
+// the first second of a burst fills all queues with flows that stay: every answer is late although
+// the targets are never idle.
 //
-// Two bounds, both on requests that are open through all instances together. Each target takes
-// twice its slots: slots stay busy while the next request is on its way, and the wait is about one
-// service time. The service takes as much for all its targets; once that is used up, each instance
-// still has the part of it that its callers ask for. Shares by what callers ask, not by instance:
-// otherwise a zone with three instances takes three times the room of a zone with one.
+// Two limits apply, both to requests that are open through all instances together. A target may
+// have twice as many open requests as slots: slots stay busy while the next request is on its way,
+// and the wait is about one service time. A service has the capacity of all its targets together;
+// once that is used up, each instance still has the share of it that its own callers demand. Shares
+// follow demand and not the number of instances: otherwise a zone with three instances would get
+// three times the capacity of a zone with one.
 //
-// The own count is exact and the peers' word a fraction of a second old, so in the first moment of
-// a rush each instance lets in at most what was free by that word.
+// The local count is exact and peers' reports are a fraction of a second old, so at the start of a
+// burst each instance admits at most what was free according to those reports.
 #pragma once
 
 namespace bramleytrack::steering {
@@ -20,64 +22,67 @@
 // Requests that are open on one target.
 struct target_usage {
     int slots = 1;
-    double here = 0;       // through this instance
-    double elsewhere = 0;  // through others, as far as they told
+    double local = 0;   // through this instance
+    double remote = 0;  // through other instances, as they report it
 };
 
-// What callers ask of a service lately: requests begun, and openings whatever became of them.
+// Recent demand for a service: requests begun, and openings whatever their outcome.
 struct service_demand_split {
-    double here = 0;
-    double elsewhere = 0;
+    double local = 0;
+    double remote = 0;
 };
 
-// What the service's targets that may take flows are doing, as far as it counts for admission.
+// The open requests of those targets of a service that accept flows, as admission counts them.
 class service_usage {
 public:
     service_usage() = default;
-    explicit service_usage(const service_demand_split& wants) : wants_{wants} {}
+    explicit service_usage(const service_demand_split& demand) : demand_{demand} {}
 
-    // Failure: slow targets collect requests of the flows that they have, and these alone would use
-    // up the service's room while its other targets are idle. So no target counts for more than it
-    // may take.
+    // Counts a target for no more than its capacity. Slow targets collect requests of their
+    // existing flows; counted in full, these would use up the service's capacity while its other
+    // targets are idle.
     void add(const target_usage& target);
 
-    // Other targets of the same service.
+    // Adds other targets of the same service.
     void add(const service_usage& others);
-    // What is open through others on all targets together, as they told. Targets are told of one by
-    // one only while they are among the most loaded, and of far zones by a few instances, so the
-    // sum over targets comes out too low in a large fleet.
+    // `open` is what peers report as open on all targets together. They report single targets only
+    // while these are among the most loaded, and those of remote zones only through a few
+    // instances, so in a large fleet the sum over targets is too low.
     void raise_remote_open_to(double open);
-    // Flows that this instance has placed since the others were counted.
-    void add_placed(double flows) { here_ += flows; }
+    // Adds flows that this instance has placed since the targets were counted.
+    void add_placed(double flows) { local_ += flows; }
 
     double slots() const { return slots_; }
-    double open_local() const { return here_; }
-    double open_remote() const { return elsewhere_; }
-    const service_demand_split& wants() const { return wants_; }
-    // This instance's part of all that callers ask for, from 0 to 1; 1 when nothing is known.
+    double open_local() const { return local_; }
+    double open_remote() const { return remote_; }
+    const service_demand_split& demand() const { return demand_; }
+    // This instance's share of the total demand, from 0 to 1; 1 when no demand is known.
     double local_demand_share() const;
 
 private:
-    service_demand_split wants_;
+    service_demand_split demand_;
     double slots_ = 0;
-    double here_ = 0;
-    double elsewhere_ = 0;
-    double beyond_room_ = 0;  // open elsewhere on targets that count for less
+    double local_ = 0;
+    double remote_ = 0;
+    double remote_over_capacity_ = 0;  // left out of remote_: open beyond the targets' capacity
 };
 
 // Requests that may be open on a target for each of its slots before no more flows are placed
 // there.
 constexpr double open_requests_per_slot = 2;
-// Of the room, for routes that are less urgent than others that callers ask for just now.
+// The share of the capacity for routes whose priority is lower than that of others with current
+// demand.
 constexpr double lower_priority_capacity_share = 0.88;
-// So much of service_demand::recent_higher_priority makes the others yield: one request of the last
-// third of a second.
+// From this value of service_demand::recent_higher_priority on, routes of lower priority are
+// capped: one request within the last third of a second.
 constexpr double min_higher_priority_demand = 0.5;
-// Of the room, for callers that have more than their share of it, see caller_shares.
+// The share of the capacity for callers that already have more than their share of it, see
+// caller_shares.
 constexpr double heavy_caller_capacity_share = 0.75;
 
-// `share` of the room is the flow's to use. A target without any open request always has room.
-bool has_room(const target_usage& target, double share);
-bool has_room(const service_usage& service, double share);
+// `share` is the part of the capacity that the flow may use. A target without open requests always
+// has capacity.
+bool has_capacity(const target_usage& target, double share);
+bool has_capacity(const service_usage& service, double share);
 
 }  // namespace bramleytrack::steering
--- a/libraries/steering/decision_log.cpp
+++ b/libraries/steering/decision_log.cpp
@@ -67,8 +67,8 @@
             .with("slots", std::llround(facts.use.slots()))
             .with("open_here", std::llround(facts.use.open_local()))
             .with("open_elsewhere", std::llround(facts.use.open_remote()))
-            .with("wanted_here", std::llround(facts.use.wants().here))
-            .with("wanted_elsewhere", std::llround(facts.use.wants().elsewhere));
+            .with("wanted_here", std::llround(facts.use.demand().local))
+            .with("wanted_elsewhere", std::llround(facts.use.demand().remote));
     }
     log_.write(event);
 }
--- a/libraries/steering/load_estimate.h
+++ b/libraries/steering/load_estimate.h
@@ -1,10 +1,11 @@
-// What this instance knows of the load of targets and of whole services: its own packets, and what
-// peers tell.
+// Estimates the load of targets and of whole services from this instance's own packets and from
+// peers' reports.
 //
-// Load that it answers: an opening is decided by the sum over all targets of a service, and there
-// may be thousands of them. The sums are kept for a moment that grows with the number of targets,
-// so that making them takes a bounded part of the processor whatever the fleet's size; openings
-// that are placed meanwhile are added at once.
+// Handles services with thousands of targets: each opening is decided by the sum over all targets
+// of its service, and summing them for each one would cost processor time in proportion to the
+// fleet. The sums are cached for a time that grows with the number of targets, so that computing
+// them takes a bounded share of the processor time whatever the fleet's size. Flows that are placed
+// meanwhile are added at once.
 #pragma once
 
 #include <functional>
@@ -22,42 +23,42 @@
 
 class load_estimate {
 public:
-    load_estimate(const discovery::directory& known, const flow_tracker& flows,
-                  const remote_load& loads)
-        : known_{known}, flows_{flows}, loads_{loads} {}
+    load_estimate(const discovery::directory& directory, const flow_tracker& flows,
+                  const remote_load& remote)
+        : directory_{directory}, flows_{flows}, remote_{remote} {}
 
-    // It is there, and operators haven't taken its zone out.
+    // Whether the target takes new flows and operators haven't taken its zone out.
     bool accepts_flows(const discovery::target& target, clock::time_point now) const;
-    target_usage use_of(const discovery::target& target, clock::time_point now) const;
+    target_usage usage_of(const discovery::target& target, clock::time_point now) const;
     bool is_ejected(const discovery::target& target, clock::time_point now) const;
 
-    // What the service's targets do that may take flows and aren't cold, in the zones that
-    // `is_allowed` names. Shunned ones are left out, unless they are more than half.
+    // The usage of the service's targets that accept flows and aren't cold, in the zones for which
+    // `is_allowed` holds. Ejected targets are left out, unless they are more than half.
     using zone_filter = std::function<bool(std::string_view zone)>;
-    service_usage use_of(const discovery::pool& pool, const service_demand_split& wants,
-                         const zone_filter& is_allowed, clock::time_point now);
+    service_usage usage_of(const discovery::pool& pool, const service_demand_split& demand,
+                           const zone_filter& is_allowed, clock::time_point now);
     // A flow was placed on a target of the service.
-    void note_placed(std::string_view service);
+    void on_flow_placed(std::string_view service);
 
 private:
-    struct zone_sum {
-        service_usage taking;
+    struct zone_totals {
+        service_usage accepting;
         service_usage ejected;
         std::size_t targets = 0;
         std::size_t ejected_targets = 0;
     };
-    struct service_sum {
-        std::map<std::string, zone_sum, std::less<>> zones;
-        double placed_since = 0;
-        clock::time_point until;
+    struct service_totals {
+        std::map<std::string, zone_totals, std::less<>> zones;
+        double placed_flows = 0;  // since the totals were computed
+        clock::time_point valid_until;
     };
 
-    const service_sum& sum_of(const discovery::pool& pool, clock::time_point now);
+    const service_totals& totals_of(const discovery::pool& pool, clock::time_point now);
 
-    const discovery::directory& known_;
+    const discovery::directory& directory_;
     const flow_tracker& flows_;
-    const remote_load& loads_;
-    std::map<std::string, service_sum, std::less<>> sums_;  // by service
+    const remote_load& remote_;
+    std::map<std::string, service_totals, std::less<>> totals_;  // by service
 };
 
 }  // namespace bramleytrack::steering
--- a/libraries/steering/remote_load.h
+++ b/libraries/steering/remote_load.h
@@ -22,7 +22,7 @@
     // Requests open on all targets of the service through other instances.
     virtual double open_remote_of_service(std::string_view service,
                                           clock::time_point now) const = 0;
-    // What callers ask of the service through other instances.
+    // Recent demand for the service through other instances.
     virtual double demand_remote(std::string_view service, clock::time_point now) const = 0;
 };
 
--- a/libraries/steering/service_demand.h
+++ b/libraries/steering/service_demand.h
@@ -1,9 +1,9 @@
-// How much the callers of one service ask of this instance, by the priority of their routes.
+// Recent demand for one service through this instance, by the priority of the callers' routes.
 //
-// Load that it answers: callers of several routes ask for more than the service's targets bear, and
-// operators have ranked the routes. A route counts as more urgent only while callers ask for it:
-// texts list routes that see no traffic, often by the highest priority, and by these every route in
-// use would have to yield.
+// Handles callers of several routes that together exceed the capacity of the service's targets,
+// where operators have ranked the routes. A route of higher priority counts only while it has
+// demand: catalogues list routes without traffic, often with the highest priority, and otherwise
+// every route in use would be capped because of them.
 #pragma once
 
 #include <map>
@@ -14,27 +14,28 @@
 
 class service_demand {
 public:
-    // Long enough to smooth single requests, short enough to follow a rush while it begins.
-    static constexpr clock::duration memory{500};
-
-    // A caller began a request, or asked for a flow, whatever became of it. A smaller number is the
-    // more urgent priority.
-    void on_asked(int priority, clock::time_point now);
-    // A number of requests and openings: those of about the last `memory`, older ones counting less
-    // and less.
+    // Of the exponential decay: long enough to smooth single requests, short enough to follow a
+    // burst while it begins.
+    static constexpr clock::duration time_constant{500};
+
+    // A caller began a request or tried to open a flow, whatever the outcome. A smaller number is a
+    // higher priority.
+    void on_request(int priority, clock::time_point now);
+    // The exponentially decayed number of requests and openings: about those of the last
+    // `time_constant`.
     double recent(clock::time_point now) const;
-    // The same, of routes that are more urgent than that.
+    // The same, for routes of a higher priority only.
     double recent_higher_priority(int priority, clock::time_point now) const;
 
 private:
     struct decaying_count {
-        double value = 0;  // as of then
-        clock::time_point at;
+        double value = 0;  // as of updated_at
+        clock::time_point updated_at;
 
         double recent(clock::time_point now) const;
     };
 
-    std::map<int, decaying_count> by_priority_;  // operators name a few
+    std::map<int, decaying_count> by_priority_;  // operators configure only a few
 };
 
 }  // namespace bramleytrack::steering
--- a/libraries/steering/steering.cpp
+++ b/libraries/steering/steering.cpp
@@ -113,7 +113,7 @@
     const auto flow_hash = hash_of_flow(content);
     const auto* pool = pool_of(*route, flow_hash);
     if (pool != nullptr && content.copy == 0) {
-        demands_[pool->description.name].on_asked(route->priority, now);
+        demands_[pool->description.name].on_request(route->priority, now);
     }
     if (pool != nullptr) {
         targets = eligible(*pool, *route, content, now);
@@ -125,7 +125,7 @@
     const auto& target = *targets.candidates[std::get<std::size_t>(choice)].subject;
     cold_.on_flow_opened(target, now);
     flows_.note_opening(content, target.token, now);
-    load_estimate_.note_placed(target.entry.service);
+    load_estimate_.on_flow_placed(target.entry.service);
     return finish(forward{&target});
 }
 
@@ -177,8 +177,8 @@
     const auto objective = route == nullptr ? clock::duration{0} : route->latency_objective;
     const auto seen = flows_.note_packet(content, now);
     if (seen.is_request_begun) {
-        demands_[target->entry.service].on_asked(route == nullptr ? least_urgent : route->priority,
-                                                 now);
+        demands_[target->entry.service].on_request(
+            route == nullptr ? least_urgent : route->priority, now);
     }
     if (seen.is_answer_to_opening) {
         observer_.on_opening_answered(*target, seen.opening_took);
@@ -295,8 +295,8 @@
 
 service_demand_split steering::wants_of(std::string_view service, clock::time_point now) const {
     const auto found = demands_.find(service);
-    return {.here = found == demands_.end() ? 0 : found->second.recent(now),
-            .elsewhere = loads_.demand_remote(service, now)};
+    return {.local = found == demands_.end() ? 0 : found->second.recent(now),
+            .remote = loads_.demand_remote(service, now)};
 }
 
 service_usage steering::use_of(std::string_view service, clock::time_point now) {
@@ -304,7 +304,7 @@
     const auto* pool = known_.find_pool(service);
     constexpr auto anywhere = [](std::string_view /*zone*/) { return true; };
     return pool == nullptr ? service_usage{wants}
-                           : load_estimate_.use_of(*pool, wants, anywhere, now);
+                           : load_estimate_.usage_of(*pool, wants, anywhere, now);
 }
 
 std::string_view steering::region_of(std::string_view zone) const {
@@ -359,10 +359,10 @@
                                               clock::time_point now) {
     eligible_targets result;
     result.capacity_share = capacity_share(pool, route, content.flow, now);
-    result.use = load_estimate_.use_of(
+    result.use = load_estimate_.usage_of(
         pool, wants_of(pool.description.name, now),
         [this, &route](std::string_view zone) { return is_allowed(route, zone); }, now);
-    const bool has_service_room = has_room(result.use, result.capacity_share);
+    const bool has_service_room = has_capacity(result.use, result.capacity_share);
     for (const auto* each : looked_at(pool, route, hash_of_flow(content))) {
         if (!each->takes_flows(now)) {
             continue;
@@ -374,14 +374,14 @@
             result.is_any_cold = true;
             continue;
         }
-        const auto use = load_estimate_.use_of(*each, now);
+        const auto use = load_estimate_.usage_of(*each, now);
         result.candidates.push_back(
             {.subject = each,
              .is_in_same_region = region_of(each->entry.zone) == region_of(place_.zone),
              .is_near = each->entry.zone == place_.zone,
              .is_ejected = load_estimate_.is_ejected(*each, now),
-             .has_room = has_service_room && has_room(use, result.capacity_share),
-             .load = (use.here + use.elsewhere + 1) / use.slots,
+             .has_room = has_service_room && has_capacity(use, result.capacity_share),
+             .load = (use.local + use.remote + 1) / use.slots,
              .answer_ms = flows_.health(each->token).answer_ms});
     }
     weigh_by_answer_time(result.candidates);
--- a/services/bramleybench/overload_experiment.h
+++ b/services/bramleybench/overload_experiment.h
@@ -39,7 +39,7 @@
 };
 
 struct overload_choice {
-    bool has_limit = true;       // steering::has_room
+    bool has_limit = true;       // steering::has_capacity
     bool shares_loads = true;    // digests of peers
     bool shares_demands = true;  // what callers ask of peers; else all room is each instance's own
     bool knows_callers = true;  // steering::caller_shares; else each flow has an address of its own
--- a/services/bramleyd/steering_daemon.cpp
+++ b/services/bramleyd/steering_daemon.cpp
@@ -393,8 +393,8 @@
                             .slots = use.slots(),
                             .open_local = use.open_local(),
                             .open_remote = use.open_remote(),
-                            .demand_local = use.wants().here,
-                            .demand_remote = use.wants().elsewhere});
+                            .demand_local = use.demand().local,
+                            .demand_remote = use.demand().remote});
     }
     return metrics_.render({.catalogue_version = directory_.in_force().version,
                             .known_revision = mirror_.revision(),
--- a/tests/fleet_update_source_selector_test.cpp
+++ b/tests/fleet_update_source_selector_test.cpp
@@ -277,9 +277,9 @@
     }
     peer_digests digests{known, "p0", "", 1};
     steering::demand_by_service demands;
-    demands["board"].on_asked(0, start);
-    demands["board"].on_asked(0, start);
-    demands["plans"].on_asked(0, start);
+    demands["board"].on_request(0, start);
+    demands["board"].on_request(0, start);
+    demands["plans"].on_request(0, start);
     wire::digest content;
     content.demands = digests.demands_of(demands, steering::flow_tracker{}, start);
     digests.on_digest("p1", content, start);
@@ -334,7 +334,7 @@
 // Tells that so many requests are open on the service "board".
 wire::digest digest_of_open(const peer_digests& digests, int open) {
     steering::demand_by_service demands;
-    demands["board"].on_asked(0, start);
+    demands["board"].on_request(0, start);
     wire::digest result;
     result.demands = digests.demands_of(demands, steering::flow_tracker{}, start);
     result.demands.front().open = open;
@@ -417,7 +417,7 @@
     }
     const peer_digests digests{known, "near", "home", 1};
     steering::demand_by_service demands;
-    demands["board"].on_asked(0, start);
+    demands["board"].on_request(0, start);
     const auto told = digests.demands_of(demands, flows, start);
     ASSERT_EQ(told.size(), 1U);
     EXPECT_EQ(told.front().open, 30);
@@ -441,7 +441,7 @@
     steering::demand_by_service demands;
     for (const auto* service : {"board", "plans", "alerts", "archive", "readings"}) {
         for (int i = 0; i < 20'000; ++i) {
-            demands[service].on_asked(0, start);
+            demands[service].on_request(0, start);
         }
     }
     content.demands = digests.demands_of(demands, steering::flow_tracker{}, start);
