--- a/libraries/steering/placement.h
+++ b/libraries/steering/placement.h
@@ -1,9 +1,8 @@
-// Which target a new flow goes to, among those that may take it.
+// Chooses the target of a new flow among those that are eligible.
 //
-// Load that it answers: many callers, each with a few long flows whose requests come in no order; a
-// target that is slow, silent or full while others are idle; a burst in one zone.
-// Without it, each target gets a share by number, and a slow one collects work until its queue
-// turns requests away.
+// Handles many callers, each with a few long flows whose requests arrive irregularly; a target that
+// is slow, silent or full while others are idle; and a burst in one zone. Without it, every target
+// gets the same number of flows, and a slow one collects work until its queue rejects requests.
 #pragma once
 
 #include <cstddef>
@@ -15,34 +14,36 @@
 
 namespace bramleytrack::steering {
 
-// What is known of a target when a flow is to be placed.
+// The state of a target when a flow is to be placed.
 struct candidate {
-    const discovery::target* subject = nullptr;
-    bool is_in_same_region = true;  // in this instance's region
-    bool is_near = false;           // in this instance's zone
-    bool is_ejected = false;        // left an opening unanswered not long ago
-    bool has_room = true;           // see admission
-    double load = 0;       // requests that are open on it, by slot, as far as all instances tell
-    double answer_ms = 0;  // what its answers take, 0 when none is known; weighs its load
+    const discovery::target* target = nullptr;
+    bool is_in_same_region = true;  // as this instance
+    bool is_in_same_zone = false;   // as this instance
+    bool is_ejected = false;        // recently left an opening unanswered
+    bool has_capacity = true;       // see admission
+    double load = 0;       // open requests per slot, through all instances as far as reported
+    double answer_ms = 0;  // how long its answers take, 0 when unknown; weights its load
 };
 
-// Failure: this instance's own link loses packets, openings stay unanswered, and nearly all targets
-// are shunned though they live; the few others are soon full, and callers would be refused while
-// targets are idle. More than half of a service doesn't die within the seconds for which targets
-// are shunned, so beyond that the sign is doubted, and shunned targets take what the others can't.
+// Whether so many targets are ejected that ejection is no longer trusted.
+//
+// Guards against packet loss on this instance's own link: openings stay unanswered, and nearly all
+// targets are ejected although they are alive; the few others are soon full, and callers would be
+// refused while targets are idle. More than half of a service doesn't die within the seconds for
+// which targets are ejected, so beyond that ejected targets take the flows that the others can't.
 bool are_too_many_ejected(std::size_t ejected, std::size_t all);
 
 // Why no target was chosen.
 enum class placement_failure {
-    no_target,  // there is none
-    saturated   // there are, and one more flow would be answered late on each of them
+    no_target,  // no candidate
+    saturated   // one more flow would be answered late on each of the candidates
 };
 
-// `flow_hash` spreads flows evenly and lets two instances that know the same choose alike; `copy`
-// moves a copy of an opening packet on to another target than the one before.
+// `flow_hash` spreads flows evenly, and lets two instances with the same state choose the same
+// target; `copy` moves a copy of an opening packet on to another target than the one before.
 //
-// Targets of the instance's own zone come first: a packet to another zone takes longer, is priced
-// by the byte, and the flow breaks when the zones are cut off from each other.
+// Targets in the instance's own zone come first: a packet to another zone takes longer, is charged
+// by the byte, and the flow breaks when the zones are partitioned.
 std::variant<std::size_t, placement_failure> choose(std::span<const candidate> candidates,
                                                     std::uint64_t flow_hash, std::uint32_t copy);
 
--- a/libraries/steering/steering.cpp
+++ b/libraries/steering/steering.cpp
@@ -122,7 +122,7 @@
     if (const auto* none = std::get_if<placement_failure>(&choice)) {
         return finish(turn_away(content, *none, targets.is_any_cold, is_fresh));
     }
-    const auto& target = *targets.candidates[std::get<std::size_t>(choice)].subject;
+    const auto& target = *targets.candidates[std::get<std::size_t>(choice)].target;
     cold_.on_flow_opened(target, now);
     flows_.note_opening(content, target.token, now);
     load_estimate_.on_flow_placed(target.entry.service);
@@ -376,11 +376,11 @@
         }
         const auto use = load_estimate_.usage_of(*each, now);
         result.candidates.push_back(
-            {.subject = each,
+            {.target = each,
              .is_in_same_region = region_of(each->entry.zone) == region_of(place_.zone),
-             .is_near = each->entry.zone == place_.zone,
+             .is_in_same_zone = each->entry.zone == place_.zone,
              .is_ejected = load_estimate_.is_ejected(*each, now),
-             .has_room = has_service_room && has_capacity(use, result.capacity_share),
+             .has_capacity = has_service_room && has_capacity(use, result.capacity_share),
              .load = (use.local + use.remote + 1) / use.slots,
              .answer_ms = flows_.health(each->token).answer_ms});
     }
--- a/tests/steering_load_test.cpp
+++ b/tests/steering_load_test.cpp
@@ -280,7 +280,7 @@
     candidate& add(bool is_near) {
         auto& created = targets_.emplace_back();
         created.token = static_cast<std::uint32_t>(targets_.size());
-        candidates_.push_back({.subject = &created, .is_near = is_near});
+        candidates_.push_back({.target = &created, .is_in_same_zone = is_near});
         return candidates_.back();
     }
     std::size_t chosen(std::uint64_t hash, std::uint32_t copy = 0) const {
@@ -298,7 +298,7 @@
 
 TEST_F(steering_placement, spills_to_other_zones_only_when_its_own_has_no_room) {
     // Callers of one zone come five times as often; the others' targets are idle.
-    add(true).has_room = false;
+    add(true).has_capacity = false;
     add(false);
     EXPECT_EQ(chosen(1), 1U);
 }
@@ -331,8 +331,8 @@
 }
 
 TEST_F(steering_placement, says_that_all_are_saturated) {
-    add(true).has_room = false;
-    add(false).has_room = false;
+    add(true).has_capacity = false;
+    add(false).has_capacity = false;
     EXPECT_EQ(std::get<placement_failure>(choose(candidates_, 1, 0)), placement_failure::saturated);
     EXPECT_EQ(std::get<placement_failure>(choose({}, 1, 0)), placement_failure::no_target);
 }
@@ -345,20 +345,20 @@
 // Three of four targets left an opening unanswered, since this instance's link loses packets. The
 // fourth is full; callers were refused, though the three live and are idle.
 TEST_F(steering_placement, shunned_targets_take_what_the_others_cannot_when_most_are_shunned) {
-    add(true).has_room = false;
+    add(true).has_capacity = false;
     for (int i = 0; i < 3; ++i) {
         add(true).is_ejected = true;
     }
     EXPECT_NE(chosen(1), 0U);
     // While the fourth has room, it is preferred.
-    candidates_[0].has_room = true;
+    candidates_[0].has_capacity = true;
     EXPECT_EQ(chosen(1), 0U);
 }
 
 TEST_F(steering_placement, a_minority_that_is_shunned_stays_so_though_the_others_are_full) {
     // One of three has died; the others are full. A caller that is sent to it would wait in vain.
-    add(true).has_room = false;
-    add(true).has_room = false;
+    add(true).has_capacity = false;
+    add(true).has_capacity = false;
     add(true).is_ejected = true;
     EXPECT_EQ(std::get<placement_failure>(choose(candidates_, 1, 0)), placement_failure::saturated);
 }
