--- a/libraries/steering/steering.cpp
+++ b/libraries/steering/steering.cpp
@@ -348,7 +348,7 @@
     }
     std::vector<const discovery::target*> result;
     for (std::size_t each = near; each < tiers; ++each) {
-        const auto sample = sample_of(lists.at(each), flow_hash, samples.at(each));
+        const auto sample = sample_targets(lists.at(each), flow_hash, samples.at(each));
         result.insert(result.end(), sample.begin(), sample.end());
     }
     return result;
