--- a/libraries/steering/rejection_summary.cpp
+++ b/libraries/steering/rejection_summary.cpp
@@ -8,9 +8,9 @@
     if (!counts_.contains(cause) && counts_.size() >= max_causes) {
         return;
     }
-    auto& sum = counts_[cause];
-    ++sum.openings;
-    sum.over_share += is_over_share ? 1 : 0;
+    auto& totals = counts_[cause];
+    ++totals.openings;
+    totals.over_share += is_over_share ? 1 : 0;
 }
 
 void rejection_summary::report(event_log& log, std::string_view zone, clock::time_point now) {
@@ -18,15 +18,15 @@
         return;
     }
     reported_at_ = now;
-    for (const auto& [cause, sum] : counts_) {
+    for (const auto& [cause, totals] : counts_) {
         const auto& [service, decision, reason] = cause;
         log.write(log_event{"turned_away"}
                       .with("service", service)
                       .with("zone", zone)
                       .with("decision", decision)
                       .with("reason", name_of(reason))
-                      .with("openings_without_line", sum.openings)
-                      .with("of_callers_over_share", sum.over_share));
+                      .with("openings_without_line", totals.openings)
+                      .with("of_callers_over_share", totals.over_share));
     }
     counts_.clear();
 }
--- a/libraries/steering/rejection_summary.h
+++ b/libraries/steering/rejection_summary.h
@@ -1,8 +1,9 @@
-// Openings that were refused or dropped and have no line of their own, summed up once a second.
+// Counts openings that were refused or dropped without a log line of their own, and logs the counts
+// once a second.
 //
-// Load that it answers: thousands of refusals a second. Lines for all of them would cost more than
-// the refusals themselves, so most are left out; without the sums, a caller that was refused then
-// couldn't be told why.
+// Handles thousands of refusals a second. A log line for each would cost more than the refusal
+// itself, so most have none; without these counts, nobody could find out why one of those callers
+// was refused.
 #pragma once
 
 #include <map>
@@ -18,19 +19,20 @@
 class rejection_summary {
 public:
     static constexpr clock::duration interval{1'000};
-    // Operators name services, so there are few; more only bound the lines of a second.
+    // Operators configure the services, so there are few causes; the limit only bounds the lines
+    // per second.
     static constexpr std::size_t max_causes = 20;
 
     void add(std::string_view service, std::string_view decision, result_code reason,
              bool is_over_share);
-    // Writes a line for each cause of the time since the last one. `zone` is where the callers are:
-    // routers bring them to instances of their own zone.
+    // Writes one line for each cause since the last report, at most once per `interval`. `zone` is
+    // this instance's, and its callers': routers send callers to instances of their own zone.
     void report(event_log& log, std::string_view zone, clock::time_point now);
 
 private:
     struct count {
         std::int64_t openings = 0;
-        std::int64_t over_share = 0;  // of them, by callers that have more than their share
+        std::int64_t over_share = 0;  // of these, by callers above their share, see caller_shares
     };
 
     std::map<std::tuple<std::string, std::string, result_code>, count> counts_;
