--- a/tests/steering_overload_test.cpp
+++ b/tests/steering_overload_test.cpp
@@ -1,5 +1,5 @@
-// Steering under more load than the targets bear, replayed packet by packet through the real
-// decisions.
+// Overload: more load than the targets can serve, simulated packet by packet with the real
+// admission and placement decisions.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -26,25 +26,25 @@
 
 constexpr overload_choice without_limit{.has_limit = false, .shares_loads = true};
 
-TEST(steering_overload, at_five_times_the_load_most_that_can_be_served_is_in_time) {
-    // Everybody comes at once. Without a limit all queues are full, and half of the answers are
-    // late though the targets are never idle. They bear a fifth of what is asked.
+TEST(steering_overload, at_five_times_the_capacity_most_of_what_can_be_served_is_in_time) {
+    // All callers arrive at once, and the targets can serve a fifth of the demand. Without a limit
+    // all queues are full, and half of the answers are late although the targets are never idle.
     const double with = figures("steer_5x", {}).at("in time");
     EXPECT_GT(with, 0.14);
     EXPECT_GT(with, 1.4 * figures("steer_5x", without_limit).at("in time"));
 }
 
-TEST(steering_overload, at_twice_the_load_two_fifths_are_in_time) {
-    // They bear a half of what is asked.
+TEST(steering_overload, at_twice_the_capacity_two_fifths_are_in_time) {
+    // The targets can serve half of the demand.
     const double with = figures("steer_2x", {}).at("in time");
     EXPECT_GT(with, 0.40);
     EXPECT_GT(with, 1.25 * figures("steer_2x", without_limit).at("in time"));
 }
 
 TEST(steering_overload, a_zone_with_one_instance_gets_as_much_as_one_with_three) {
-    // Nine times as many callers come at once, alike from all zones. Each instance took what became
-    // free first, so the zone with three of them took most, and the callers of the one with a
-    // single instance were refused.
+    // Nine times as many callers arrive at once, equally many in each zone. Guards against
+    // instances that each take free capacity first come, first served: the zone with three
+    // instances then gets most of it, and callers in the zone with one are refused.
     constexpr overload_choice by_instance{.shares_demands = false};
     const auto with = figures("steer_rush_uneven_zones", {});
     const auto without = figures("steer_rush_uneven_zones", by_instance);
@@ -53,9 +53,11 @@
     EXPECT_GT(with.at("in time"), 0.97 * without.at("in time"));
 }
 
-TEST(steering_overload, an_urgent_route_is_served_first_though_unused_routes_rank_before_it) {
-    // Three times the callers come, and the text lists a route of a higher rank that nobody asks
-    // by. Compared with that one, every route in use yielded alike, and the rank did nothing.
+TEST(steering_overload,
+     a_high_priority_route_is_served_first_despite_unused_routes_of_higher_priority) {
+    // Three times as many callers arrive, and the catalogue lists a route of higher priority that
+    // has no demand. Guards against routes that are capped because of an unused one: every route in
+    // use was capped alike, and the priorities had no effect.
     constexpr overload_choice unranked{.ranks_routes = false};
     const auto with = figures("steer_ranked", {});
     const auto without = figures("steer_ranked", unranked);
@@ -63,59 +65,61 @@
     EXPECT_GT(with.at("in time"), 0.95 * without.at("in time"));
 }
 
-TEST(steering_overload, a_rank_costs_nothing_while_there_is_room) {
-    const auto calm = figures("steer_ranked_calm", {});
-    EXPECT_EQ(calm.at("failed"), 0);
-    EXPECT_GT(calm.at("in time"), 0.98);
+TEST(steering_overload, a_priority_has_no_cost_while_there_is_capacity) {
+    const auto result = figures("steer_ranked_calm", {});
+    EXPECT_EQ(result.at("failed"), 0);
+    EXPECT_GT(result.at("in time"), 0.98);
 }
 
-TEST(steering_overload, instances_of_a_large_fleet_turn_away_what_targets_would) {
-    // Guards against sums that come out at a third of what is open: sixty instances let in a rush
-    // whole, and the targets turn away nearly as many requests as they answer.
+TEST(steering_overload, instances_of_a_large_fleet_reject_what_targets_would_reject) {
+    // Guards against totals that amount to a third of the open requests: sixty instances admit a
+    // burst in full, and the targets reject nearly as many requests as they answer.
     EXPECT_LT(figures("steer_large_rush", {}).at("shed by targets"), 0.8);
     EXPECT_GT(figures("steer_large_rush", {}).at("in time"), 0.77);
 }
 
-TEST(steering_overload, nobody_is_turned_away_on_an_ordinary_day) {
+TEST(steering_overload, no_caller_is_rejected_under_ordinary_load) {
     const auto usual = figures("steer_usual", {});
     EXPECT_EQ(usual.at("failed"), 0);
     EXPECT_GT(usual.at("in time"), 0.99);
     EXPECT_LT(figures("steer_full", {}).at("failed"), 0.001);
 }
 
-TEST(steering_overload, flows_avoid_targets_that_have_turned_slow) {
-    // Three targets of ten take five times as long; the others have room for all. Placed by number
-    // alone, three flows of ten would end on slow targets, where half of the answers are late.
+TEST(steering_overload, flows_avoid_targets_that_have_become_slow) {
+    // Three targets of ten take five times as long; the others have enough capacity. If every
+    // target got the same number of flows, three of ten would end on slow targets, where half of
+    // the answers are late.
     EXPECT_GT(figures("steer_slow", {}).at("in time"), 0.89);
     EXPECT_EQ(figures("steer_slow", {}).at("failed"), 0);
 }
 
-TEST(steering_overload, one_caller_with_most_of_the_load_does_not_push_the_others_out) {
-    // One of nine members asks for nine tenths of three times what the targets bear. Whoever asked
-    // most got all room that became free, and the other eight, who asked for little, were refused
-    // two times of three. They come to three tenths of what the targets bear.
-    constexpr overload_choice all_alike{.knows_callers = false};
+TEST(steering_overload, one_caller_with_most_of_the_load_does_not_crowd_out_the_others) {
+    // The demand is three times the targets' capacity, and nine tenths of it come from one of nine
+    // members. Guards against capacity that goes to the caller that asks most often: the other
+    // eight, whose demand is three tenths of the capacity, were refused two times of three.
+    constexpr overload_choice without_caller_shares{.knows_callers = false};
     const auto with = figures("steer_heavy_caller", {});
-    const auto without = figures("steer_heavy_caller", all_alike);
+    const auto without = figures("steer_heavy_caller", without_caller_shares);
     EXPECT_LT(without.at("in time, light"), 0.35);
     EXPECT_GT(with.at("in time, light"), 0.75);
-    // What all together get is the same.
+    // The total is the same.
     EXPECT_GT(with.at("in time"), 0.97 * without.at("in time"));
 }
 
 TEST(steering_overload, openings_avoid_targets_that_have_died) {
-    // Four targets of fourteen fall silent while their entries are still there, and callers open a
-    // flow for each request. Without a sign of it nearly three openings of ten would wait for their
-    // copies, for as long as the entries stay.
-    constexpr overload_choice without_signs{.checks_targets = false, .heeds_copies = false};
+    // Four targets of fourteen fall silent while their entries are still listed, and callers open a
+    // flow for each request. Without failure detection nearly three openings of ten would wait for
+    // their copies, for as long as the entries are listed.
+    constexpr overload_choice without_detection{.checks_targets = false, .heeds_copies = false};
     const auto with = figures("steer_dead_short_flows", {});
-    const auto without = figures("steer_dead_short_flows", without_signs);
+    const auto without = figures("steer_dead_short_flows", without_detection);
     EXPECT_GT(with.at("in time"), 0.975);
     EXPECT_GT(with.at("in time"), without.at("in time") + 0.015);
 }
 
-TEST(steering_overload, callers_of_targets_that_have_died_are_told) {
-    // The same with long flows: each caller of a dead target would lose a request to its deadline.
+TEST(steering_overload, callers_of_dead_targets_are_reset) {
+    // The same with long flows: each caller of a dead target would have one request run into its
+    // deadline.
     constexpr overload_choice without_ends{.ends_dead_flows = false};
     const double with = figures("steer_dead", {}).at("failed");
     const double without = figures("steer_dead", without_ends).at("failed");
@@ -124,20 +128,21 @@
 }
 
 TEST(steering_overload, short_requests_are_served_among_long_ones) {
-    // One caller of twenty asks for half a second of work, and the targets are nearly full. Half of
-    // the slots are taken by long work at any time; the others must still answer in time.
-    const auto seen = figures("steer_long_among_short", {});
-    EXPECT_GT(seen.at("in time, short"), 0.94);
-    EXPECT_EQ(seen.at("failed"), 0);
+    // One caller of twenty sends requests that take half a second, and the targets are nearly at
+    // capacity. Half of the slots are busy with long requests at any time; the short ones must
+    // still be answered in time.
+    const auto result = figures("steer_long_among_short", {});
+    EXPECT_GT(result.at("in time, short"), 0.94);
+    EXPECT_EQ(result.at("failed"), 0);
 }
 
-TEST(steering_overload, members_that_ask_alike_get_alike) {
+TEST(steering_overload, members_with_equal_demand_are_served_equally) {
     const auto even = figures("steer_even_callers", {});
     EXPECT_NEAR(even.at("in time"), even.at("in time, light"), 0.01);
 }
 
-TEST(steering_overload, work_that_is_always_late_is_still_done) {
-    // The objective is shorter than the work. Refusing callers because every answer is late would
+TEST(steering_overload, requests_that_are_always_late_are_still_served) {
+    // The service time exceeds the objective. Refusing callers because every answer is late would
     // leave the targets idle.
     EXPECT_LT(figures("steer_long_work", {}).at("failed"), 0.01);
 }
--- a/tests/steering_waiting_copies_test.cpp
+++ b/tests/steering_waiting_copies_test.cpp
@@ -1,4 +1,4 @@
-// Steering: copies of opening packets that waited in an instance's own socket.
+// Copies of opening packets that were delayed in the instance's own socket.
 #include <gtest/gtest.h>
 
 #include "fleet/peer_digests.h"
@@ -17,22 +17,22 @@
     static constexpr int slots = 4;
 
     waiting_copies() {
-        discovery::catalogue text;
-        text.version = 1;
+        discovery::catalogue catalogue;
+        catalogue.version = 1;
         discovery::route route;
         route.name = "feed";
         route.address = {.address = 1, .port = 80};
         route.splits = {{.service = "board", .weight = 1}};
-        text.routes = {route};
-        text.services = {{.name = "board"}};
-        known_.apply(text, 1, false, start);
+        catalogue.routes = {route};
+        catalogue.services = {{.name = "board"}};
+        directory_.apply(catalogue, 1, false, start);
         for (int i = 0; i < targets; ++i) {
             discovery::target_entry entry;
             entry.id = "i-" + std::to_string(i);
             entry.service = "board";
             entry.zone = "north";
             entry.slots = slots;
-            known_.apply(entry, i + 2, false, start);
+            directory_.apply(entry, i + 2, false, start);
         }
     }
 
@@ -43,34 +43,34 @@
         opening.sequence = port;
         opening.is_opening = true;
         opening.copy = copy;
-        return subject_.on_segment(opening, {.is_complete = true, .confirmed = now}, now);
+        return steering_.on_segment(opening, {.is_complete = true, .confirmed = now}, now);
     }
 
-    static const discovery::target* target_of(const steering::decision& made) {
-        const auto* forwarded = std::get_if<steering::forward>(&made);
+    static const discovery::target* target_of(const steering::decision& decision) {
+        const auto* forwarded = std::get_if<steering::forward>(&decision);
         return forwarded == nullptr ? nullptr : forwarded->to;
     }
 
-    discovery::directory known_;
-    fleet::peer_digests digests_{known_, "self", "north", 1};
-    steering::cold_gate cold_{"self"};
+    discovery::directory directory_;
+    fleet::peer_digests digests_{directory_, "self", "north", 1};
+    steering::cold_gate cold_gate_{"self"};
     observability::budgeted_log log_;
     observability::steering_metrics metrics_;
-    steering::steering subject_{
-        {.zone = "north", .regions = {}}, known_, cold_, digests_, log_, metrics_};
+    steering::steering steering_{
+        {.zone = "north", .regions = {}}, directory_, cold_gate_, digests_, log_, metrics_};
 };
 
-TEST_F(waiting_copies, say_nothing_about_targets) {
-    // All instances lost power. While one of them starts, callers' openings and their copies wait
-    // in its socket; then it reads them all within a few milliseconds. Each copy looked like a
-    // target that hadn't answered: most of the fleet was shunned, and of the callers that came next
-    // two of three were refused though the targets were idle.
+TEST_F(waiting_copies, are_no_evidence_about_targets) {
+    // While an instance starts after a power failure, openings and their copies wait in its socket,
+    // and it then reads them within a few milliseconds. Guards against copies that are taken for
+    // unanswered openings: most of the fleet was ejected, and two of three callers that came next
+    // were refused although the targets were idle.
     constexpr std::uint16_t callers = 16;
     for (std::uint16_t port = 1; port <= callers; ++port) {
         const auto* first = target_of(open(port, 0, start));
         ASSERT_NE(first, nullptr);
-        // The copy is the same opening, so it goes to the same target: two that took it would each
-        // answer the caller.
+        // The copy is the same opening and goes to the same target; otherwise two targets would
+        // accept it, and each would answer the caller.
         EXPECT_EQ(target_of(open(port, 1, start + clock::duration{4})), first);
         EXPECT_EQ(target_of(open(port, 2, start + clock::duration{6})), first);
     }
@@ -79,31 +79,32 @@
     }
 }
 
-TEST_F(waiting_copies, of_callers_that_have_given_up_hold_no_room) {
-    // The same start. Most of the openings in the socket are of callers that have given up since,
-    // and nothing follows them. They counted as requests for one and a half seconds, and callers
-    // that came meanwhile were refused by idle targets.
-    constexpr std::uint16_t given_up = 2 * slots * targets;
-    for (std::uint16_t port = 1; port <= given_up; ++port) {
+TEST_F(waiting_copies, of_callers_that_have_given_up_hold_no_capacity) {
+    // In the same start, most of the openings in the socket are from callers that have given up
+    // since and send nothing more. Guards against openings that count as requests for one and a
+    // half seconds: callers that arrived meanwhile were refused although the targets were idle.
+    constexpr std::uint16_t abandoned = 2 * slots * targets;
+    for (std::uint16_t port = 1; port <= abandoned; ++port) {
         ASSERT_NE(target_of(open(port, 0, start)), nullptr);
     }
-    EXPECT_EQ(target_of(open(given_up + 1, 0, start)), nullptr);
+    EXPECT_EQ(target_of(open(abandoned + 1, 0, start)), nullptr);
     const auto later = start + clock::duration{300};
-    subject_.expire(later);
-    EXPECT_NE(target_of(open(given_up + 2, 0, later)), nullptr);
+    steering_.expire(later);
+    EXPECT_NE(target_of(open(abandoned + 2, 0, later)), nullptr);
 }
 
-TEST_F(waiting_copies, are_told_from_copies_that_callers_sent_for_want_of_an_answer) {
+TEST_F(waiting_copies, are_distinguished_from_copies_sent_because_no_answer_came) {
     const auto* first = target_of(open(1, 0, start));
     const auto* second = target_of(open(1, 1, start + clock::duration{200}));
     ASSERT_NE(second, nullptr);
     EXPECT_NE(second, first);
 }
 
-TEST_F(waiting_copies, when_most_targets_are_shunned_their_room_counts) {
+TEST_F(waiting_copies, when_most_targets_are_ejected_their_capacity_counts) {
     // The instance's own link loses packets: openings stay unanswered, and nearly all targets are
-    // shunned though they live. One of them answers and is soon full. Counting only its room would
-    // refuse the callers whom the doubt about so many signs lets in.
+    // ejected although they are alive. One of them answers and is soon at capacity. Counting only
+    // its capacity would refuse callers that placement sends to ejected targets, since ejection
+    // isn't trusted when it affects most targets.
     const auto* answering = target_of(open(1, 0, start));
     ASSERT_NE(answering, nullptr);
     for (std::uint16_t port = 2; port <= 4 * targets; ++port) {
@@ -115,11 +116,11 @@
     answer.token = answering->token;
     answer.acknowledged = 1;
     const auto later = start + clock::duration{1'650};
-    subject_.on_segment(answer, {.is_complete = true, .confirmed = later}, later);
-    subject_.expire(later);
+    steering_.on_segment(answer, {.is_complete = true, .confirmed = later}, later);
+    steering_.expire(later);
     int ejected = 0;
-    known_.for_each_target([&](const discovery::target& each) {
-        ejected += later < subject_.flows().health(each.token).ejected_until ? 1 : 0;
+    directory_.for_each_target([&](const discovery::target& each) {
+        ejected += later < steering_.flows().health(each.token).ejected_until ? 1 : 0;
     });
     ASSERT_GT(2 * ejected, targets);
     ASSERT_LT(ejected, targets);
