--- a/benchmarks/steering_benchmark.cpp
+++ b/benchmarks/steering_benchmark.cpp
@@ -1,5 +1,5 @@
-// What the token's path costs an instance: openings, later packets, digests and ticks, for fleets
-// of several sizes. Arguments are targets and instances.
+// The cost of routing by token for one instance: openings, later packets, digests and timer ticks,
+// for fleets of several sizes. The arguments are the numbers of targets and instances.
 #include <benchmark/benchmark.h>
 
 #include <memory>
@@ -15,8 +15,8 @@
 
 constexpr clock::time_point start = to_time_point(1'000'000);
 constexpr int zones = 5;
-constexpr int openings_by_millisecond = 1;
-// No bound is reached while a benchmark runs.
+constexpr int openings_per_millisecond = 1;
+// Enough that no admission limit is reached while a benchmark runs.
 constexpr int ample_slots = 1'000;
 
 std::string zone_name(int number) {
@@ -24,18 +24,18 @@
 }
 
 // One instance of a fleet, with its peers' digests.
-class fleet_member {
+class benchmark_instance {
 public:
-    fleet_member(std::int64_t targets, std::int64_t instances) {
-        known_.apply(testing::board_text(), 1, false, start);
+    benchmark_instance(std::int64_t targets, std::int64_t instances) {
+        directory_.apply(testing::board_text(), 1, false, start);
         for (int i = 0; i < targets; ++i) {
             const auto entry =
                 testing::board_target("i-" + std::to_string(i), zone_name(i), ample_slots);
-            known_.apply(entry, i + 2, false, start);
+            directory_.apply(entry, i + 2, false, start);
             tokens_.push_back(discovery::token_of(entry.id));
         }
         for (int i = 0; i < instances; ++i) {
-            known_.apply(
+            directory_.apply(
                 discovery::peer_entry{
                     .name = name_of(i), .zone = zone_name(i), .address = "", .pull_address = ""},
                 i, false, start);
@@ -58,13 +58,13 @@
     }
 
     void open(std::uint32_t number) {
-        const auto now = start + clock::duration{number / openings_by_millisecond};
+        const auto now = start + clock::duration{number / openings_per_millisecond};
         steering::segment packet;
         packet.flow = {.caller = {.address = number, .port = 1000}, .route = testing::board_route};
         packet.sequence = number;
         packet.is_opening = true;
         benchmark::DoNotOptimize(
-            subject_.on_segment(packet, {.is_complete = true, .confirmed = now}, now));
+            steering_.on_segment(packet, {.is_complete = true, .confirmed = now}, now));
     }
 
     void send(std::uint32_t number) {
@@ -74,75 +74,76 @@
         packet.sequence = next_ += 40;
         packet.length = 40;
         benchmark::DoNotOptimize(
-            subject_.on_segment(packet, {.is_complete = true, .confirmed = start}, start));
+            steering_.on_segment(packet, {.is_complete = true, .confirmed = start}, start));
     }
 
     void expire(clock::time_point now) {
-        subject_.expire(now);
-        known_.expire(now);
+        steering_.expire(now);
+        directory_.expire(now);
     }
     fleet::peer_digests& digests() { return *digests_; }
 
 private:
-    discovery::directory known_;
+    discovery::directory directory_;
     std::vector<discovery::routing_token> tokens_;
     std::uint32_t next_ = 0;
-    steering::cold_gate cold_{"instance-0"};
+    steering::cold_gate cold_gate_{"instance-0"};
     std::unique_ptr<fleet::peer_digests> digests_ =
-        std::make_unique<fleet::peer_digests>(known_, "instance-0", zone_name(0), 1);
+        std::make_unique<fleet::peer_digests>(directory_, "instance-0", zone_name(0), 1);
     testing::no_log log_;
     observability::steering_metrics metrics_;
-    steering::steering subject_{
-        {.zone = zone_name(0), .regions = {}}, known_, cold_, *digests_, log_, metrics_};
+    steering::steering steering_{
+        {.zone = zone_name(0), .regions = {}}, directory_, cold_gate_, *digests_, log_, metrics_};
 };
 
-void sizes(benchmark::internal::Benchmark* of) {
-    of->Args({18, 9})->Args({300, 200})->Args({1'200, 200})->Args({4'700, 610});
+void fleet_sizes(benchmark::internal::Benchmark* definition) {
+    definition->Args({18, 9})->Args({300, 200})->Args({1'200, 200})->Args({4'700, 610});
 }
 
-// One opening a millisecond: a small instance's part of 35,000 a second is a seventeenth of that.
+// One opening a millisecond: the share of a small instance in 35,000 a second is a seventeenth of
+// that.
 void opening(benchmark::State& state) {
-    fleet_member subject{state.range(0), state.range(1)};
+    benchmark_instance instance{state.range(0), state.range(1)};
     std::uint32_t number = 0;
     for (auto _ : state) {
-        subject.open(++number);
+        instance.open(++number);
     }
 }
-BENCHMARK(opening)->Apply(sizes)->Iterations(20'000);
+BENCHMARK(opening)->Apply(fleet_sizes)->Iterations(20'000);
 
 void later_packet(benchmark::State& state) {
-    fleet_member subject{state.range(0), state.range(1)};
+    benchmark_instance instance{state.range(0), state.range(1)};
     std::uint32_t number = 0;
     for (auto _ : state) {
-        subject.send(++number % 18'000);
+        instance.send(++number % 18'000);
     }
 }
-BENCHMARK(later_packet)->Apply(sizes)->Iterations(200'000);
+BENCHMARK(later_packet)->Apply(fleet_sizes)->Iterations(200'000);
 
 void digest_from_a_peer(benchmark::State& state) {
-    fleet_member subject{state.range(0), state.range(1)};
-    const auto content = subject.digest();
+    benchmark_instance instance{state.range(0), state.range(1)};
+    const auto content = instance.digest();
     int number = 0;
     for (auto _ : state) {
-        subject.digests().on_digest(
-            fleet_member::name_of(1 + number++ % static_cast<int>(state.range(1) - 1)), content,
-            start);
+        instance.digests().on_digest(
+            benchmark_instance::name_of(1 + number++ % static_cast<int>(state.range(1) - 1)),
+            content, start);
     }
 }
-BENCHMARK(digest_from_a_peer)->Apply(sizes)->Iterations(100'000);
+BENCHMARK(digest_from_a_peer)->Apply(fleet_sizes)->Iterations(100'000);
 
 void tick(benchmark::State& state) {
-    fleet_member subject{state.range(0), state.range(1)};
+    benchmark_instance instance{state.range(0), state.range(1)};
     for (std::uint32_t i = 0; i < 18'000; ++i) {
-        subject.send(i);
+        instance.send(i);
     }
     auto now = start;
     for (auto _ : state) {
         now += clock::duration{1};
-        subject.expire(now);
+        instance.expire(now);
     }
 }
-BENCHMARK(tick)->Apply(sizes)->Iterations(2'000);
+BENCHMARK(tick)->Apply(fleet_sizes)->Iterations(2'000);
 
 }  // namespace
 }  // namespace bramleytrack
