--- a/libraries/steering/admission.h
+++ b/libraries/steering/admission.h
@@ -46,8 +46,8 @@
     // Adds other targets of the same service.
     void add(const service_usage& others);
     // `open` is what peers report as open on all targets together. They report single targets only
-    // while these are among the most loaded, and those of remote zones only through a few
-    // instances, so in a large fleet the sum over targets is too low.
+    // while these are among the most loaded, and only a few instances of other zones report to this
+    // one, so in a large fleet the sum over targets is too low.
     void raise_remote_open_to(double open);
     // Adds flows that this instance has placed since the targets were counted.
     void add_placed(double flows) { local_ += flows; }
