--- a/libraries/steering/decision_log.cpp
+++ b/libraries/steering/decision_log.cpp
@@ -67,8 +67,8 @@
             .with("slots", std::llround(entry.usage.slots()))
             .with("open_here", std::llround(entry.usage.open_local()))
             .with("open_elsewhere", std::llround(entry.usage.open_remote()))
-            .with("wanted_here", std::llround(entry.usage.wants().here))
-            .with("wanted_elsewhere", std::llround(entry.usage.wants().elsewhere));
+            .with("wanted_here", std::llround(entry.usage.demand().local))
+            .with("wanted_elsewhere", std::llround(entry.usage.demand().remote));
     }
     log_.write(event);
 }
--- a/libraries/steering/flow_tracker.cpp
+++ b/libraries/steering/flow_tracker.cpp
@@ -192,7 +192,7 @@
     health.silent_flows += flow.is_counted_as_silent ? 0 : 1;
     flow.is_counted_as_silent = true;
     result.is_target_silent =
-        health.silent_flows >= limits_.min_silent_flows && path_.is_sound(now);
+        health.silent_flows >= limits_.min_silent_flows && path_.is_healthy(now);
     result.is_target_dead =
         result.is_target_dead ||
         (result.is_target_silent && health.silent_flows >= limits_.min_silent_flows_of_dead_target);
@@ -335,7 +335,7 @@
     health.silent_flows = 0;
     health.ejected_until = {};
     health.last_response_at = now;
-    path_.on_life(now);
+    path_.on_response(now);
 }
 
 }  // namespace bramleytrack::steering
--- a/libraries/steering/flow_tracker.h
+++ b/libraries/steering/flow_tracker.h
@@ -114,7 +114,7 @@
 
     // Counts an opening packet of the caller, whether it is accepted or not.
     void record_attempt(const flow_key& key, clock::time_point now) {
-        callers_.on_asked(key.caller.address, now);
+        callers_.on_attempt(key.caller.address, now);
     }
     // Returns the token of the target that got the original of this opening packet, if that was so
     // recent that both must have been queued in this instance's socket.
--- a/libraries/steering/steering.cpp
+++ b/libraries/steering/steering.cpp
@@ -115,7 +115,7 @@
     const auto flow_hash = hash_of_flow(packet);
     const auto* pool = choose_pool(*route, flow_hash);
     if (pool != nullptr && packet.copy == 0) {
-        demands_[pool->description.name].on_asked(route->priority, now);
+        demands_[pool->description.name].on_request(route->priority, now);
     }
     if (pool != nullptr) {
         targets = find_eligible_targets(*pool, *route, packet, now);
@@ -125,10 +125,10 @@
         return record_outcome(
             reject(packet, *failure, targets.has_held_back_cold_target, is_state_fresh));
     }
-    const auto& target = *targets.candidates[std::get<std::size_t>(choice)].subject;
-    cold_gate_.note_opened(target, now);
+    const auto& target = *targets.candidates[std::get<std::size_t>(choice)].target;
+    cold_gate_.on_flow_opened(target, now);
     flows_.record_opening(packet, target.token, now);
-    load_estimate_.note_placed(target.entry.service);
+    load_estimate_.on_flow_placed(target.entry.service);
     return record_outcome(forward{&target});
 }
 
@@ -181,7 +181,7 @@
     const auto objective = route == nullptr ? clock::duration{0} : route->latency_objective;
     const auto observed = flows_.record_packet(packet, now);
     if (observed.is_request_begun) {
-        demands_[target->entry.service].on_asked(
+        demands_[target->entry.service].on_request(
             route == nullptr ? lowest_priority : route->priority, now);
     }
     if (observed.is_opening_answered) {
@@ -301,8 +301,8 @@
 
 service_demand_split steering::demand_of(std::string_view service, clock::time_point now) const {
     const auto found = demands_.find(service);
-    return {.here = found == demands_.end() ? 0 : found->second.recent(now),
-            .elsewhere = remote_load_.demand_remote(service, now)};
+    return {.local = found == demands_.end() ? 0 : found->second.recent(now),
+            .remote = remote_load_.demand_remote(service, now)};
 }
 
 service_usage steering::usage_of(std::string_view service, clock::time_point now) {
@@ -310,7 +310,7 @@
     const auto* pool = directory_.find_pool(service);
     constexpr auto any_zone = [](std::string_view /*zone*/) { return true; };
     return pool == nullptr ? service_usage{demand}
-                           : load_estimate_.use_of(*pool, demand, any_zone, now);
+                           : load_estimate_.usage_of(*pool, demand, any_zone, now);
 }
 
 std::string_view steering::region_of(std::string_view zone) const {
@@ -357,7 +357,7 @@
     }
     std::vector<const discovery::target*> result;
     for (std::size_t each = same_zone; each < tier_count; ++each) {
-        const auto sample = sample_of(lists.at(each), flow_hash, samples.at(each));
+        const auto sample = sample_targets(lists.at(each), flow_hash, samples.at(each));
         result.insert(result.end(), sample.begin(), sample.end());
     }
     return result;
@@ -369,10 +369,10 @@
                                                            clock::time_point now) {
     eligible_targets result;
     result.capacity_share = capacity_share(pool, route, packet.flow, now);
-    result.usage = load_estimate_.use_of(
+    result.usage = load_estimate_.usage_of(
         pool, demand_of(pool.description.name, now),
         [this, &route](std::string_view zone) { return is_allowed(route, zone); }, now);
-    const bool has_service_capacity = has_room(result.usage, result.capacity_share);
+    const bool has_service_capacity = has_capacity(result.usage, result.capacity_share);
     for (const auto* each : sample_targets(pool, route, hash_of_flow(packet))) {
         if (!each->accepts_new_flows(now)) {
             continue;
@@ -384,14 +384,14 @@
             result.has_held_back_cold_target = true;
             continue;
         }
-        const auto usage = load_estimate_.use_of(*each, now);
+        const auto usage = load_estimate_.usage_of(*each, now);
         result.candidates.push_back(
-            {.subject = each,
+            {.target = each,
              .is_in_same_region = region_of(each->entry.zone) == region_of(location_.zone),
-             .is_near = each->entry.zone == location_.zone,
+             .is_in_same_zone = each->entry.zone == location_.zone,
              .is_ejected = load_estimate_.is_ejected(*each, now),
-             .has_room = has_service_capacity && has_room(usage, result.capacity_share),
-             .load = (usage.here + usage.elsewhere + 1) / usage.slots,
+             .has_capacity = has_service_capacity && has_capacity(usage, result.capacity_share),
+             .load = (usage.local + usage.remote + 1) / usage.slots,
              .answer_ms = flows_.health(each->token).answer_ms});
     }
     weigh_by_answer_time(result.candidates);
--- a/services/bramleyd/steering_daemon.cpp
+++ b/services/bramleyd/steering_daemon.cpp
@@ -404,8 +404,8 @@
                             .slots = usage.slots(),
                             .open_local = usage.open_local(),
                             .open_remote = usage.open_remote(),
-                            .demand_local = usage.wants().here,
-                            .demand_remote = usage.wants().elsewhere});
+                            .demand_local = usage.demand().local,
+                            .demand_remote = usage.demand().remote});
     }
     return metrics_.render({.catalogue_version = directory_.current_catalogue().version,
                             .known_revision = mirror_.revision(),
--- a/tests/fleet_update_source_selector_test.cpp
+++ b/tests/fleet_update_source_selector_test.cpp
@@ -283,9 +283,9 @@
     }
     peer_digests digests{directory, "p0", "", 1};
     steering::demand_by_service demands;
-    demands["board"].on_asked(0, start);
-    demands["board"].on_asked(0, start);
-    demands["plans"].on_asked(0, start);
+    demands["board"].on_request(0, start);
+    demands["board"].on_request(0, start);
+    demands["plans"].on_request(0, start);
     wire::digest content;
     content.demands = digests.demand_reports(demands, steering::flow_tracker{}, start);
     digests.on_digest("p1", content, start);
@@ -340,7 +340,7 @@
 // Reports `open` open requests on the service "board".
 wire::digest digest_with_open_requests(const peer_digests& digests, int open) {
     steering::demand_by_service demands;
-    demands["board"].on_asked(0, start);
+    demands["board"].on_request(0, start);
     wire::digest result;
     result.demands = digests.demand_reports(demands, steering::flow_tracker{}, start);
     result.demands.front().open = open;
@@ -425,7 +425,7 @@
     }
     const peer_digests digests{directory, "near", "home", 1};
     steering::demand_by_service demands;
-    demands["board"].on_asked(0, start);
+    demands["board"].on_request(0, start);
     const auto reports = digests.demand_reports(demands, flows, start);
     ASSERT_EQ(reports.size(), 1U);
     EXPECT_EQ(reports.front().open, 30);
@@ -449,7 +449,7 @@
     steering::demand_by_service demands;
     for (const auto* service : {"board", "plans", "alerts", "archive", "readings"}) {
         for (int i = 0; i < 20'000; ++i) {
-            demands[service].on_asked(0, start);
+            demands[service].on_request(0, start);
         }
     }
     content.demands = digests.demand_reports(demands, steering::flow_tracker{}, start);
--- a/tests/steering_load_test.cpp
+++ b/tests/steering_load_test.cpp
@@ -219,14 +219,14 @@
     for (int i = 0; i < 50; ++i) {
         path.on_answer(i % 2 == 0, start + clock::duration{i * 10});
     }
-    EXPECT_FALSE(path.is_sound(start + clock::duration{500}));
+    EXPECT_FALSE(path.is_healthy(start + clock::duration{500}));
     auto now = start + clock::duration{500};
     for (int i = 0; i < 400; ++i) {
         now += clock::duration{10};
         path.on_answer(false, now);
     }
-    EXPECT_TRUE(path.is_sound(now));
-    EXPECT_FALSE(path.is_sound(now + clock::duration{400}));
+    EXPECT_TRUE(path.is_healthy(now));
+    EXPECT_FALSE(path.is_healthy(now + clock::duration{400}));
 }
 
 TEST(flow_tracker, a_slow_target_that_responds_to_any_caller_is_not_silent) {
@@ -291,7 +291,7 @@
     candidate& add(bool is_near) {
         auto& created = targets_.emplace_back();
         created.token = static_cast<std::uint32_t>(targets_.size());
-        candidates_.push_back({.subject = &created, .is_near = is_near});
+        candidates_.push_back({.target = &created, .is_in_same_zone = is_near});
         return candidates_.back();
     }
     std::size_t chosen(std::uint64_t hash, std::uint32_t copy = 0) const {
@@ -309,7 +309,7 @@
 
 TEST_F(steering_placement, uses_other_zones_only_when_its_own_has_no_capacity) {
     // One zone has five times the demand of the others, whose targets are idle.
-    add(true).has_room = false;
+    add(true).has_capacity = false;
     add(false);
     EXPECT_EQ(chosen(1), 1U);
 }
@@ -342,8 +342,8 @@
 }
 
 TEST_F(steering_placement, distinguishes_saturation_from_the_absence_of_targets) {
-    add(true).has_room = false;
-    add(false).has_room = false;
+    add(true).has_capacity = false;
+    add(false).has_capacity = false;
     EXPECT_EQ(std::get<placement_failure>(choose(candidates_, 1, 0)), placement_failure::saturated);
     EXPECT_EQ(std::get<placement_failure>(choose({}, 1, 0)), placement_failure::no_target);
 }
@@ -356,20 +356,20 @@
 // Three of four targets left an opening unanswered because this instance's link loses packets. The
 // fourth is at capacity; callers were rejected although the three are alive and idle.
 TEST_F(steering_placement, uses_ejected_targets_for_overflow_when_most_are_ejected) {
-    add(true).has_room = false;
+    add(true).has_capacity = false;
     for (int i = 0; i < 3; ++i) {
         add(true).is_ejected = true;
     }
     EXPECT_NE(chosen(1), 0U);
     // While the fourth has capacity, it is preferred.
-    candidates_[0].has_room = true;
+    candidates_[0].has_capacity = true;
     EXPECT_EQ(chosen(1), 0U);
 }
 
 TEST_F(steering_placement, does_not_use_an_ejected_minority_when_the_others_are_at_capacity) {
     // One of three has died; the others are at capacity. A caller sent to it would get no response.
-    add(true).has_room = false;
-    add(true).has_room = false;
+    add(true).has_capacity = false;
+    add(true).has_capacity = false;
     add(true).is_ejected = true;
     EXPECT_EQ(std::get<placement_failure>(choose(candidates_, 1, 0)), placement_failure::saturated);
 }
