--- a/benchmarks/load_benchmark.cpp
+++ b/benchmarks/load_benchmark.cpp
@@ -38,7 +38,7 @@
         now += clock::duration{10};
         const auto wanted = next_work();
         benchmark::DoNotOptimize(load::admit_request(target, load, wanted, now));
-        benchmark::DoNotOptimize(load::take_hopeless(target, load, now));
+        benchmark::DoNotOptimize(load::take_infeasible(target, load, now));
         --load.slots_in_use;
         const auto next = load::take_next(target, load, now);
         ++load.slots_in_use;
--- a/libraries/distribution/spread.cpp
+++ b/libraries/distribution/configuration_sync.cpp
@@ -1,4 +1,4 @@
-#include "distribution/spread.h"
+#include "distribution/configuration_sync.h"
 
 #include <algorithm>
 #include <utility>
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-bool spread::on_store(std::string_view text, std::int64_t version) {
+bool configuration_sync::on_store(std::string_view text, std::int64_t version) {
     const auto& current = shared_.configuration;
     const auto digest = hash_of(text);
     if (version < current.version) {
@@ -47,7 +47,8 @@
     return is_new;
 }
 
-bool spread::is_better(std::int64_t version, std::uint64_t digest, bool is_confirmed) const {
+bool configuration_sync::is_better(std::int64_t version, std::uint64_t digest,
+                                   bool is_confirmed) const {
     const auto& current = shared_.configuration;
     if (version != current.version) {
         return version > current.version;
@@ -55,7 +56,7 @@
     return digest != current.digest && is_confirmed && !shared_.is_configuration_confirmed;
 }
 
-void spread::on_heartbeat(const wire::peer_message& message, clock::time_point now) {
+void configuration_sync::on_heartbeat(const wire::peer_message& message, clock::time_point now) {
     const auto version = message.beat.configuration_version;
     const auto digest = static_cast<std::uint64_t>(message.beat.configuration_digest);
     if (version == shared_.configuration.version && digest != shared_.configuration.digest) {
@@ -84,7 +85,7 @@
     ask(0);
 }
 
-void spread::ask(std::int32_t offset) {
+void configuration_sync::ask(std::int32_t offset) {
     wire::configuration_wanted wanted;
     wanted.known_version = shared_.configuration.version;
     wanted.known_digest =
@@ -96,7 +97,8 @@
     shared_.out.send_peer(incoming_->peer(), std::move(message));
 }
 
-void spread::on_wanted(std::string_view sender, const wire::configuration_wanted& wanted) {
+void configuration_sync::on_wanted(std::string_view sender,
+                                   const wire::configuration_wanted& wanted) {
     const auto& current = shared_.configuration;
     const auto known = static_cast<std::uint64_t>(wanted.known_digest);
     if (current.version == 0 || wanted.known_version > current.version ||
@@ -124,8 +126,8 @@
     }
 }
 
-void spread::on_part(std::string_view sender, const wire::configuration_part& part,
-                     clock::time_point now) {
+void configuration_sync::on_part(std::string_view sender, const wire::configuration_part& part,
+                                 clock::time_point now) {
     if (!incoming_ || incoming_->peer() != sender || !incoming_->add(part, now)) {
         return;
     }
@@ -136,7 +138,7 @@
     }
 }
 
-void spread::complete() {
+void configuration_sync::complete() {
     const auto received = std::move(*incoming_);
     incoming_.reset();
     // Failure: the store or another peer was faster than this transfer, and the older text that it
@@ -175,7 +177,8 @@
     put_in_force(text, received.version(), received.peer());
 }
 
-bool spread::put_in_force(std::string_view text, std::int64_t version, std::string_view source) {
+bool configuration_sync::put_in_force(std::string_view text, std::int64_t version,
+                                      std::string_view source) {
     auto parsed = configuration::parse_configuration(text, version);
     if (const auto* faults = std::get_if<std::vector<configuration::fault>>(&parsed)) {
         refuse(version, hash_of(text), source, to_string(faults->front()));
@@ -198,12 +201,12 @@
     return true;
 }
 
-bool spread::is_refused(std::int64_t version, std::uint64_t digest) const {
+bool configuration_sync::is_refused(std::int64_t version, std::uint64_t digest) const {
     return std::ranges::find(refused_, refused_text{version, digest}) != refused_.end();
 }
 
-void spread::refuse(std::int64_t version, std::uint64_t digest, std::string_view source,
-                    std::string_view fault) {
+void configuration_sync::refuse(std::int64_t version, std::uint64_t digest, std::string_view source,
+                                std::string_view fault) {
     shared_.out.log(log_event{"configuration_refused"}
                         .with("version", version)
                         .with("source", source)
@@ -214,7 +217,7 @@
     }
 }
 
-void spread::note_conflict(std::string_view peer, std::uint64_t digest) {
+void configuration_sync::note_conflict(std::string_view peer, std::uint64_t digest) {
     if (digest == conflicting_digest_) {
         return;
     }
--- a/libraries/distribution/spread.h
+++ b/libraries/distribution/configuration_sync.h
@@ -20,7 +20,7 @@
 
 namespace bramleytrack::distribution {
 
-class spread {
+class configuration_sync {
 public:
     // What it needs of the instance.
     struct shared_state {
@@ -30,7 +30,7 @@
         outbox& out;
     };
 
-    explicit spread(const shared_state& shared) : shared_{shared} {}
+    explicit configuration_sync(const shared_state& shared) : shared_{shared} {}
 
     // A text that the store shows. Returns true when it came into force.
     bool on_store(std::string_view text, std::int64_t version);
--- a/libraries/entry/router.cpp
+++ b/libraries/entry/router.cpp
@@ -106,7 +106,7 @@
 // could be false. Only the opening of a flow is refused here: no request precedes its acceptance.
 void router::give_up(const wire::packet& subject, result_code code) {
     if (subject.kind == wire::packet_kind::open) {
-        shared_.out.refuse(subject, code, unreachable_come_back);
+        shared_.out.refuse(subject, code, unreachable_retry_after);
         return;
     }
     if (subject.kind == wire::packet_kind::request) {
--- a/libraries/entry/router.h
+++ b/libraries/entry/router.h
@@ -18,7 +18,7 @@
 constexpr int max_hops = 4;
 
 // Come-back time of a flow whose home can't be reached: one failure detection.
-constexpr clock::duration unreachable_come_back{1000};
+constexpr clock::duration unreachable_retry_after{1000};
 
 // A target without an owner gets one within this time: its owner's silence, one heartbeat and one
 // tick of the successor.
--- a/libraries/flows/witness.cpp
+++ b/libraries/flows/flow_query_responder.cpp
@@ -1,4 +1,4 @@
-#include "flows/witness.h"
+#include "flows/flow_query_responder.h"
 
 #include "routing/candidates.h"
 
@@ -15,8 +15,8 @@
 
 }  // namespace
 
-void witness::on_query(std::string_view asker, const wire::flow_query& query,
-                       clock::time_point now) {
+void flow_query_responder::on_query(std::string_view asker, const wire::flow_query& query,
+                                    clock::time_point now) {
     const auto key = routing::key_of(query.content.content);
     const auto* known = shared_.flows.find(key);
     if (known != nullptr && is_same_flow(*known, query.content.content)) {
@@ -41,7 +41,7 @@
     reply(asker, query.content, is_certain, now);
 }
 
-bool witness::is_ruled_out(const wire::forward& content, clock::time_point now) const {
+bool flow_query_responder::is_ruled_out(const wire::forward& content, clock::time_point now) const {
     const auto* target = shared_.configuration.find_target(content.target);
     if (target == nullptr || !shared_.configuration.is_zone_in(target->zone)) {
         return true;
@@ -54,8 +54,8 @@
 
 // An acknowledgement up to sequence 0 acknowledges nothing: a target that knows the flow ignores
 // it, one that doesn't sends a reset. The target's next pushes come to this instance.
-void witness::ask_target(std::string_view asker, const wire::forward& content,
-                         clock::time_point now) {
+void flow_query_responder::ask_target(std::string_view asker, const wire::forward& content,
+                                      clock::time_point now) {
     const auto* target = shared_.configuration.find_target(content.target);
     if (target == nullptr || shared_.ownership.find(content.target) == nullptr ||
         asked_.size() >= max_questions) {
@@ -69,8 +69,8 @@
     shared_.out.send_target(*target, std::move(question));
 }
 
-bool witness::on_reset(const configuration::target& target, const wire::packet& content,
-                       clock::time_point now) {
+bool flow_query_responder::on_reset(const configuration::target& target,
+                                    const wire::packet& content, clock::time_point now) {
     const auto found = asked_.find({routing::key_of(content), target.name});
     if (found == asked_.end()) {
         return false;
@@ -81,8 +81,8 @@
     return true;
 }
 
-void witness::reply(std::string_view asker, const wire::forward& content, bool is_certain,
-                    clock::time_point now) {
+void flow_query_responder::reply(std::string_view asker, const wire::forward& content,
+                                 bool is_certain, clock::time_point now) {
     wire::flow_query_answer answer;
     answer.content = content;
     answer.is_known = false;
@@ -90,8 +90,8 @@
     answer_(asker, answer, now);
 }
 
-void witness::reply_known(std::string_view asker, const wire::forward& content,
-                          std::string_view target, clock::time_point now) {
+void flow_query_responder::reply_known(std::string_view asker, const wire::forward& content,
+                                       std::string_view target, clock::time_point now) {
     wire::flow_query_answer answer;
     answer.content = content;
     answer.is_known = true;
@@ -100,14 +100,14 @@
     answer_(asker, answer, now);
 }
 
-void witness::on_tick(clock::time_point now) {
+void flow_query_responder::on_tick(clock::time_point now) {
     std::erase_if(
         asked_, [now](const auto& entry) { return now - entry.second.since >= question_lifetime; });
     std::erase_if(
         ceded_, [now](const auto& entry) { return now - entry.second.since >= opening_lifetime; });
 }
 
-std::string witness::ceded_to(routing::flow_key key, clock::time_point now) const {
+std::string flow_query_responder::ceded_to(routing::flow_key key, clock::time_point now) const {
     const auto found = ceded_.find(key);
     const bool is_valid = found != ceded_.end() && now - found->second.since < opening_lifetime;
     return is_valid ? found->second.home : std::string{};
--- a/libraries/flows/witness.h
+++ b/libraries/flows/flow_query_responder.h
@@ -22,7 +22,7 @@
 // No copy of an opening packet arrives later than this after the first one.
 constexpr clock::duration opening_lifetime{10'000};
 
-class witness {
+class flow_query_responder {
 public:
     // What it needs of the instance.
     struct shared_state {
@@ -37,7 +37,7 @@
     using answer_callback = std::function<void(
         std::string_view asker, const wire::flow_query_answer& answer, clock::time_point now)>;
 
-    witness(const shared_state& shared, answer_callback answer)
+    flow_query_responder(const shared_state& shared, answer_callback answer)
         : shared_{shared}, answer_{std::move(answer)} {}
 
     void on_query(std::string_view asker, const wire::flow_query& query, clock::time_point now);
--- a/libraries/flows/flow_table.h
+++ b/libraries/flows/flow_table.h
@@ -25,7 +25,7 @@
     wire::flow_record record;
     flow_state state = flow_state::opening;
     clock::time_point last_used;
-    // The home that knows where the flow is; see announcer.h. 0: none was told.
+    // The home that knows where the flow is; see location_announcer.h. 0: none was told.
     std::uint32_t home_mark = 0;
 };
 
--- a/libraries/flows/home.cpp
+++ b/libraries/flows/home.cpp
@@ -25,22 +25,22 @@
           [this](const wire::flow_query& query, clock::time_point now) { ask(query, now); },
           [this](wire::forward held, const std::optional<std::string>& target,
                  clock::time_point now) { on_looked_up(std::move(held), target, now); }},
-      witness_{{.self = shared.self,
-                .configuration = shared.configuration,
-                .ownership = shared.ownership,
-                .flows = shared.flows,
-                .locations = shared.locations,
-                .out = shared.out},
-               [this](std::string_view asker, const wire::flow_query_answer& answer,
-                      clock::time_point now) {
-                   if (asker == shared_.self.name) {
-                       lookup_.on_answer(answer, now);
-                       return;
-                   }
-                   wire::peer_message message;
-                   message.__set_query_answer(answer);
-                   shared_.out.send_peer(asker, std::move(message));
-               }} {}
+      flow_query_responder_{{.self = shared.self,
+                             .configuration = shared.configuration,
+                             .ownership = shared.ownership,
+                             .flows = shared.flows,
+                             .locations = shared.locations,
+                             .out = shared.out},
+                            [this](std::string_view asker, const wire::flow_query_answer& answer,
+                                   clock::time_point now) {
+                                if (asker == shared_.self.name) {
+                                    lookup_.on_answer(answer, now);
+                                    return;
+                                }
+                                wire::peer_message message;
+                                message.__set_query_answer(answer);
+                                shared_.out.send_peer(asker, std::move(message));
+                            }} {}
 
 // Failure: a caller closes its flow while the answer to its request is lost, and the copy of the
 // request is told "unknown". The owner's record outlives the flow and has the answer.
@@ -193,7 +193,7 @@
 }
 
 void home::open(wire::forward content, clock::time_point now) {
-    const auto other_home = witness_.ceded_to(routing::key_of(content.content), now);
+    const auto other_home = flow_query_responder_.ceded_to(routing::key_of(content.content), now);
     if (!other_home.empty()) {
         forward_to(other_home, std::move(content));
         return;
@@ -212,7 +212,7 @@
     }
     const auto owner = shared_.ownership.owner_of(*target, shared_.peers, now);
     if (owner == shared_.self.name) {
-        witness_.on_query(owner, query, now);
+        flow_query_responder_.on_query(owner, query, now);
     } else if (!owner.empty()) {
         wire::peer_message message;
         message.__set_query(query);
@@ -232,7 +232,7 @@
             forward_to(sender, std::move(*held));
         }
     }
-    witness_.on_query(sender, query, now);
+    flow_query_responder_.on_query(sender, query, now);
 }
 
 void home::on_query_answer(const wire::flow_query_answer& answer, clock::time_point now) {
@@ -241,7 +241,7 @@
 
 bool home::on_target_reset(const configuration::target& target, const wire::packet& content,
                            clock::time_point now) {
-    return witness_.on_reset(target, content, now);
+    return flow_query_responder_.on_reset(target, content, now);
 }
 
 void home::on_looked_up(wire::forward held, const std::optional<std::string>& target,
@@ -314,7 +314,7 @@
     shared_.previous.on_tick(now);
     expire(now);
     lookup_.on_tick(now);
-    witness_.on_tick(now);
+    flow_query_responder_.on_tick(now);
     end_old_placings(now);
 }
 
--- a/libraries/flows/home.h
+++ b/libraries/flows/home.h
@@ -8,10 +8,10 @@
 
 #include "configuration/configuration.h"
 #include "configuration/history.h"
+#include "flows/flow_query_responder.h"
 #include "flows/flow_table.h"
 #include "flows/location_table.h"
 #include "flows/lookup.h"
-#include "flows/witness.h"
 #include "load/placement.h"
 #include "load/target_load.h"
 #include "membership/ownership.h"
@@ -87,7 +87,7 @@
     packet_path& path_;
     clock::time_point last_expiry_;
     lookup lookup_;
-    witness witness_;
+    flow_query_responder flow_query_responder_;
     std::unordered_map<routing::flow_key, placing> placing_;
     // Keys of placing_, oldest first; a key stands once for each time that its placing was renewed.
     std::deque<routing::flow_key> placing_order_;
--- a/libraries/flows/announcer.cpp
+++ b/libraries/flows/location_announcer.cpp
@@ -1,4 +1,4 @@
-#include "flows/announcer.h"
+#include "flows/location_announcer.h"
 
 #include <algorithm>
 #include <set>
@@ -13,14 +13,14 @@
 constexpr int max_copies = 5;
 constexpr std::size_t max_outstanding = 16;
 
-std::string home_of(const announcer::shared_state& shared, std::string_view service,
+std::string home_of(const location_announcer::shared_state& shared, std::string_view service,
                     routing::flow_key key, clock::time_point now) {
     const auto targets = routing::candidates_of(shared.configuration, service, key);
     return targets.empty() ? std::string{}
                            : shared.ownership.owner_of(*targets.front(), shared.peers, now);
 }
 
-std::uint32_t mark_of(const announcer::shared_state& shared, const std::string& home) {
+std::uint32_t mark_of(const location_announcer::shared_state& shared, const std::string& home) {
     if (home.empty()) {
         return 0;
     }
@@ -32,12 +32,12 @@
 
 }  // namespace
 
-std::uint32_t mark_of_home(const announcer::shared_state& shared, std::string_view service,
+std::uint32_t mark_of_home(const location_announcer::shared_state& shared, std::string_view service,
                            routing::flow_key key, clock::time_point now) {
     return mark_of(shared, home_of(shared, service, key, now));
 }
 
-void announcer::on_tick(clock::time_point now) {
+void location_announcer::on_tick(clock::time_point now) {
     // A scan that has begun is ended first: with a change every few seconds its end would never be
     // reached otherwise.
     if (is_scan_wanted_ && scan_.empty()) {
@@ -52,7 +52,7 @@
     scan(now);
 }
 
-void announcer::scan(clock::time_point now) {
+void location_announcer::scan(clock::time_point now) {
     if (outstanding_.size() >= max_outstanding) {
         return;
     }
@@ -98,7 +98,7 @@
     send(outstanding_[next.content.batch] = std::move(next), now);
 }
 
-void announcer::send(batch& subject, clock::time_point now) {
+void location_announcer::send(batch& subject, clock::time_point now) {
     subject.sent = now;
     ++subject.copies;
     wire::peer_message message;
@@ -106,7 +106,7 @@
     shared_.out.send_peer(subject.home, std::move(message));
 }
 
-void announcer::repeat(clock::time_point now) {
+void location_announcer::repeat(clock::time_point now) {
     std::erase_if(outstanding_, [&](const auto& each) {
         return each.second.copies >= max_copies && now - each.second.sent >= repeat_interval;
     });
@@ -118,7 +118,7 @@
     }
 }
 
-void announcer::on_acknowledged(const wire::flow_locations_acknowledged& acknowledged) {
+void location_announcer::on_acknowledged(const wire::flow_locations_acknowledged& acknowledged) {
     const auto found = outstanding_.find(acknowledged.batch);
     if (found == outstanding_.end()) {
         return;
--- a/libraries/flows/announcer.h
+++ b/libraries/flows/location_announcer.h
@@ -26,7 +26,7 @@
 // 200,000 flows are looked through in 5 s.
 constexpr std::size_t scanned_per_tick = 4'000;
 
-class announcer {
+class location_announcer {
 public:
     // What it needs of the instance.
     struct shared_state {
@@ -38,7 +38,7 @@
         outbox& out;
     };
 
-    explicit announcer(const shared_state& shared) : shared_{shared} {}
+    explicit location_announcer(const shared_state& shared) : shared_{shared} {}
 
     // Homes may have moved.
     void restart() { is_scan_wanted_ = true; }
@@ -67,7 +67,7 @@
 };
 
 // Identifies one life of a home; 0 is no home. Another life has other gaps and is told again.
-std::uint32_t mark_of_home(const announcer::shared_state& shared, std::string_view service,
+std::uint32_t mark_of_home(const location_announcer::shared_state& shared, std::string_view service,
                            routing::flow_key key, clock::time_point now);
 
 }  // namespace bramleytrack::flows
--- a/libraries/flows/lookup.cpp
+++ b/libraries/flows/lookup.cpp
@@ -20,7 +20,7 @@
 constexpr clock::duration reset_delay{2 * membership::heartbeat_interval};
 // Two owners' heartbeats lost: a peer is dead or heard within this time.
 constexpr clock::duration lookup_timeout{3'000};
-constexpr clock::duration come_back{1'000};
+constexpr clock::duration retry_after{1'000};
 
 bool is_open(const wire::forward& content) {
     return content.content.kind == packet_kind::open;
@@ -229,7 +229,7 @@
 // A request that was dispatched under the owner before may have run, so its outcome is unknown.
 void lookup::give_up(const wire::forward& content) {
     if (is_open(content)) {
-        shared_.out.refuse(content.content, result_code::flow_in_doubt, come_back);
+        shared_.out.refuse(content.content, result_code::flow_in_doubt, retry_after);
     } else if (content.content.kind == packet_kind::request) {
         shared_.out.answer_unknown(content.content, result_code::flow_in_doubt);
     } else {
--- a/libraries/instance/instance.cpp
+++ b/libraries/instance/instance.cpp
@@ -30,12 +30,12 @@
              .placements = context_.placements,
              .out = context_.out},
             *this},
-      announcer_{{.self = context_.self,
-                  .configuration = context_.configuration,
-                  .peers = context_.peers,
-                  .ownership = context_.ownership,
-                  .flows = context_.flows,
-                  .out = context_.out}},
+      location_announcer_{{.self = context_.self,
+                           .configuration = context_.configuration,
+                           .peers = context_.peers,
+                           .ownership = context_.ownership,
+                           .flows = context_.flows,
+                           .out = context_.out}},
       zone_exit_{{.configuration = context_.configuration,
                   .flows = context_.flows,
                   .locations = context_.locations,
@@ -69,10 +69,10 @@
                       owner_.on_gained(target, how, now_);
                   },
                   [this](const configuration::target& target) { owner_.on_merged(target, now_); }},
-      spread_{{.configuration = context_.configuration,
-               .is_configuration_confirmed = context_.is_configuration_confirmed,
-               .previous = context_.previous,
-               .out = context_.out}},
+      configuration_sync_{{.configuration = context_.configuration,
+                           .is_configuration_confirmed = context_.is_configuration_confirmed,
+                           .previous = context_.previous,
+                           .out = context_.out}},
       now_{context_.self.started} {}
 
 void instance::on_caller_packet(wire::packet content, clock::time_point now) {
@@ -149,7 +149,7 @@
 
 void instance::on_peer_message(const wire::peer_message& message, clock::time_point now) {
     begin_event(now);
-    if (context_.peers.note_heard(message, now)) {
+    if (context_.peers.note_heartbeat_from(message, now)) {
         dispatch_message(message, now);
         route_released(now);
     }
@@ -158,7 +158,7 @@
 void instance::dispatch_message(const wire::peer_message& message, clock::time_point now) {
     if (message.__isset.beat) {
         membership_.on_heartbeat(message, now);
-        spread_.on_heartbeat(message, now);
+        configuration_sync_.on_heartbeat(message, now);
     }
     if (message.__isset.forwarded) {
         on_forward(message.forwarded, now);
@@ -170,7 +170,7 @@
         home_.on_locations(message.sender, message.locations, now);
     }
     if (message.__isset.locations_acknowledged) {
-        announcer_.on_acknowledged(message.locations_acknowledged);
+        location_announcer_.on_acknowledged(message.locations_acknowledged);
     }
     if (message.__isset.query) {
         home_.on_query(message.sender, message.query, now);
@@ -194,10 +194,10 @@
         }
     }
     if (message.__isset.configuration_request) {
-        spread_.on_wanted(message.sender, message.configuration_request);
+        configuration_sync_.on_wanted(message.sender, message.configuration_request);
     }
     if (message.__isset.configuration) {
-        spread_.on_part(message.sender, message.configuration, now);
+        configuration_sync_.on_part(message.sender, message.configuration, now);
     }
 }
 
@@ -212,7 +212,7 @@
 void instance::on_configuration(std::string_view text, std::int64_t version,
                                 clock::time_point now) {
     begin_event(now);
-    spread_.on_store(text, version);
+    configuration_sync_.on_store(text, version);
 }
 
 void instance::on_instance_list(std::span<const membership::listed_instance> listed) {
@@ -227,9 +227,9 @@
     home_.on_tick(now);
     zone_exit_.on_tick();
     if (membership_.take_view_changed()) {
-        announcer_.restart();
+        location_announcer_.restart();
     }
-    announcer_.on_tick(now);
+    location_announcer_.on_tick(now);
 }
 
 void instance::to_home(wire::forward content, clock::time_point now) {
--- a/libraries/instance/instance.h
+++ b/libraries/instance/instance.h
@@ -6,11 +6,11 @@
 
 #include <span>
 
-#include "distribution/spread.h"
+#include "distribution/configuration_sync.h"
 #include "entry/plain_hashing.h"
 #include "entry/router.h"
-#include "flows/announcer.h"
 #include "flows/home.h"
+#include "flows/location_announcer.h"
 #include "flows/zone_exit.h"
 #include "hand_over/membership_protocol.h"
 #include "instance/context.h"
@@ -34,8 +34,9 @@
     void leave() { membership_.leave(); }
     bool may_stop() const { return membership_.may_stop(); }
 
-    // True once when the store has to be read whatever its version, see distribution::spread.
-    bool take_store_wanted() { return spread_.take_store_wanted(); }
+    // True once when the store has to be read whatever its version, see
+    // distribution::configuration_sync.
+    bool take_store_wanted() { return configuration_sync_.take_store_wanted(); }
 
     std::vector<action> take_actions() { return context_.out.take_actions(); }
     const context& state() const { return context_; }
@@ -58,11 +59,11 @@
     entry::router router_;
     entry::plain_hashing baseline_;
     flows::home home_;
-    flows::announcer announcer_;
+    flows::location_announcer location_announcer_;
     flows::zone_exit zone_exit_;
     requests::target_owner owner_;
     hand_over::membership_protocol membership_;
-    distribution::spread spread_;
+    distribution::configuration_sync configuration_sync_;
     clock::time_point now_;  // of the event that is being handled
 };
 
--- a/libraries/load/admission.cpp
+++ b/libraries/load/admission.cpp
@@ -9,7 +9,7 @@
                result_code code, clock::time_point now) {
     return {.id = refused.id,
             .code = code,
-            .come_back = load.how->come_back(target, load, refused, now)};
+            .retry_after = load.how->retry_after(target, load, refused, now)};
 }
 
 }  // namespace
@@ -49,20 +49,20 @@
     wait_for_slot result;
     const auto room = static_cast<std::size_t>(target.slots) * queue_per_slot;
     if (load.queue.size() >= room) {
-        const auto left = load.how->push_out_for(load.queue, wanted.member);
+        const auto left = load.how->evict_for(load.queue, wanted.member);
         if (!left) {
             return refuse(target, load, wanted, result_code::queue_full, now);
         }
-        const work pushed_out{
+        const work evicted{
             .id = left->id, .member = left->member, .kind = left->kind, .deadline = left->deadline};
-        result.pushed_out = refuse(target, load, pushed_out, result_code::queue_full, now);
+        result.evicted = refuse(target, load, evicted, result_code::queue_full, now);
     }
     load.queue.push(wanted, load.times.of(wanted.member, wanted.kind).mean, now);
     return result;
 }
 
-std::vector<refusal> take_hopeless(const configuration::target& target, target_load& load,
-                                   clock::time_point now) {
+std::vector<refusal> take_infeasible(const configuration::target& target, target_load& load,
+                                     clock::time_point now) {
     const auto taken = load.queue.take_if([&](const waiting_request& each) {
         const work as_work{
             .id = each.id, .member = each.member, .kind = each.kind, .deadline = each.deadline};
@@ -86,7 +86,7 @@
     return next ? std::optional{next->id} : std::nullopt;
 }
 
-void wait_again(target_load& load, const work& subject, clock::time_point now) {
+void requeue(target_load& load, const work& subject, clock::time_point now) {
     load.queue.push(subject, load.times.of(subject.member, subject.kind).mean, now);
 }
 
--- a/libraries/load/admission.h
+++ b/libraries/load/admission.h
@@ -22,12 +22,12 @@
 struct refusal {
     records::request_id id;
     result_code code = result_code::queue_full;
-    clock::duration come_back{};
+    clock::duration retry_after{};
 };
 
 struct run_now {};
 struct wait_for_slot {
-    std::optional<refusal> pushed_out;  // left a full queue for this one
+    std::optional<refusal> evicted;  // left a full queue for this one
 };
 using admission = std::variant<run_now, wait_for_slot, refusal>;
 
@@ -43,14 +43,14 @@
 admission admit_request(const configuration::target& target, target_load& load, const work& wanted,
                         clock::time_point now);
 // Waiting requests that can't end in time any more; they have left the queue.
-std::vector<refusal> take_hopeless(const configuration::target& target, target_load& load,
-                                   clock::time_point now);
+std::vector<refusal> take_infeasible(const configuration::target& target, target_load& load,
+                                     clock::time_point now);
 // The next request to run if a slot is free.
 std::optional<records::request_id> take_next(const configuration::target& target, target_load& load,
                                              clock::time_point now);
 
 // A request that was let in before, by an earlier owner or before the target shed it.
-void wait_again(target_load& load, const work& subject, clock::time_point now);
+void requeue(target_load& load, const work& subject, clock::time_point now);
 
 // Called with each dispatch and each end of a dispatched request, so that service times are known.
 void note_dispatched(target_load& load, const work& subject, clock::time_point now);
--- a/libraries/load/deadline_check.cpp
+++ b/libraries/load/deadline_check.cpp
@@ -80,15 +80,16 @@
     return now + available.delay + to_duration(wait_margin * wait + time.upper());
 }
 
-clock::duration come_back_of_refused(const configuration::target& target, target_load& load,
-                                     const work& refused, clock::time_point now) {
+clock::duration retry_after_of_rejected(const configuration::target& target, target_load& load,
+                                        const work& refused, clock::time_point now) {
     const auto available = capacity_of(target, load, now);
     const double cost = load.times.of(refused.member, refused.kind).mean;
     const double waiting = work_running(load, now) + load.queue.cost();
     const auto members =
         static_cast<double>(std::max<std::size_t>(1, load.queue.waiting_members()));
-    return load.come_back.promise(refused, available.delay + to_duration(waiting / available.slots),
-                                  to_duration(cost * members / available.slots), now);
+    return load.retry_after.promise(refused,
+                                    available.delay + to_duration(waiting / available.slots),
+                                    to_duration(cost * members / available.slots), now);
 }
 
 }  // namespace bramleytrack::load
--- a/libraries/load/deadline_check.h
+++ b/libraries/load/deadline_check.h
@@ -22,7 +22,7 @@
                                 const work& wanted, clock::time_point now);
 
 // Until the work that waits now is done, and from then on in steps of the member's share.
-clock::duration come_back_of_refused(const configuration::target& target, target_load& load,
-                                     const work& refused, clock::time_point now);
+clock::duration retry_after_of_rejected(const configuration::target& target, target_load& load,
+                                        const work& refused, clock::time_point now);
 
 }  // namespace bramleytrack::load
--- a/libraries/load/fair_queue.cpp
+++ b/libraries/load/fair_queue.cpp
@@ -101,7 +101,7 @@
     return !take_if([&id](const waiting_request& each) { return each.id == id; }).empty();
 }
 
-std::optional<waiting_request> fair_queue::push_out_for(std::string_view member) {
+std::optional<waiting_request> fair_queue::evict_for(std::string_view member) {
     const auto own = members_.find(member);
     const std::size_t wanted = 1 + (own == members_.end() ? 0 : own->second.count);
     const auto longest = std::ranges::max_element(
@@ -143,13 +143,13 @@
 }
 
 std::vector<waiting_request> fair_queue::take_if(
-    const std::function<bool(const waiting_request&)>& is_hopeless) {
+    const std::function<bool(const waiting_request&)>& is_infeasible) {
     std::vector<waiting_request> taken;
     for (auto& [name, member] : members_) {
         for (auto& [kind, each_class] : member.classes) {
             const auto first = std::stable_partition(
                 each_class.requests.begin(), each_class.requests.end(),
-                [&](const waiting_request& each) { return !is_hopeless(each); });
+                [&](const waiting_request& each) { return !is_infeasible(each); });
             for (auto each = first; each != each_class.requests.end(); ++each) {
                 each_class.cost -= each->cost;
                 member.cost -= each->cost;
--- a/libraries/load/fair_queue.h
+++ b/libraries/load/fair_queue.h
@@ -43,7 +43,7 @@
 
     // Removes the newest request of the member with the most waiting, if that member has more
     // waiting than `member` would have. So a flood can't keep others out of a full queue.
-    std::optional<waiting_request> push_out_for(std::string_view member);
+    std::optional<waiting_request> evict_for(std::string_view member);
 
     // What a request pushed now would have to wait for within its own member, it included:
     // milliseconds of service. Other classes are served ahead of it only up to an equal share.
@@ -53,9 +53,9 @@
     double work_ahead_of(std::string_view member, double own, std::string_view other,
                          double more) const;
 
-    // Removes what `is_hopeless` says can't end in time.
+    // Removes what `is_infeasible` says can't end in time.
     std::vector<waiting_request> take_if(
-        const std::function<bool(const waiting_request&)>& is_hopeless);
+        const std::function<bool(const waiting_request&)>& is_infeasible);
 
     std::vector<waiting_request> take_all() {
         return take_if([](const waiting_request&) { return true; });
--- a/libraries/load/come_back.cpp
+++ b/libraries/load/retry_after_plan.cpp
@@ -1,4 +1,4 @@
-#include "load/come_back.h"
+#include "load/retry_after_plan.h"
 
 #include <algorithm>
 
@@ -19,8 +19,8 @@
 
 }  // namespace
 
-clock::duration come_back_plan::promise(const work& refused, clock::duration earliest,
-                                        clock::duration share, clock::time_point now) {
+clock::duration retry_after_plan::promise(const work& refused, clock::duration earliest,
+                                          clock::duration share, clock::time_point now) {
     std::erase_if(next_, [now](const auto& entry) { return entry.second <= now; });
     auto due = now + std::max(earliest, clock::duration{1});
     const auto found = next_.find(refused.member);
@@ -28,15 +28,15 @@
         due = std::max(due, found->second);
     }
     if (found != next_.end() || next_.size() < max_members) {
-        const auto limit = now + longest_come_back;
+        const auto limit = now + max_retry_after;
         next_[std::string{refused.member}] =
             std::min(due + std::max(share, clock::duration{1}), limit);
     }
     const auto wait = due - now;
-    if (wait >= longest_come_back) {
-        return longest_come_back / 2 + jitter_of(refused, longest_come_back / 2);
+    if (wait >= max_retry_after) {
+        return max_retry_after / 2 + jitter_of(refused, max_retry_after / 2);
     }
-    return std::min(wait + jitter_of(refused, wait / jitter_part), longest_come_back);
+    return std::min(wait + jitter_of(refused, wait / jitter_part), max_retry_after);
 }
 
 }  // namespace bramleytrack::load
--- a/libraries/load/come_back.h
+++ b/libraries/load/retry_after_plan.h
@@ -5,7 +5,7 @@
 // Each refusal of a member is promised the next free part of that member's share of the target's
 // time, so promises are as far apart as the target can take them. A hash of the request adds up to
 // a quarter, as instances and targets promise independently of each other. No promise exceeds
-// longest_come_back: further ahead the figure would say nothing true, and callers are spread evenly
+// max_retry_after: further ahead the figure would say nothing true, and callers are spread evenly
 // over its second half instead.
 #pragma once
 
@@ -17,9 +17,9 @@
 
 namespace bramleytrack::load {
 
-constexpr clock::duration longest_come_back{10'000};
+constexpr clock::duration max_retry_after{10'000};
 
-class come_back_plan {
+class retry_after_plan {
 public:
     // `earliest`: when the work that waits now is done. `share`: how long the member's share of the
     // target takes for this request.
--- a/libraries/load/strategies.cpp
+++ b/libraries/load/strategies.cpp
@@ -7,12 +7,12 @@
 const strategies& default_strategies() {
     static constexpr strategies table{
         .take = &fair_queue::take,
-        .push_out_for = [](fair_queue& queue,
-                           std::string_view member) { return queue.push_out_for(member); },
+        .evict_for = [](fair_queue& queue,
+                        std::string_view member) { return queue.evict_for(member); },
         .end_if_dispatched = &end_if_dispatched,
         .latest_end = &latest_end,
         .end_if_queued = &end_if_queued,
-        .come_back = &come_back_of_refused,
+        .retry_after = &retry_after_of_rejected,
         .class_of = &class_of};
     return table;
 }
--- a/libraries/load/target_load.h
+++ b/libraries/load/target_load.h
@@ -7,10 +7,10 @@
 #include "base/clock.h"
 #include "configuration/configuration.h"
 #include "load/cold_start.h"
-#include "load/come_back.h"
 #include "load/demand.h"
 #include "load/fair_queue.h"
 #include "load/inherited_connections.h"
+#include "load/retry_after_plan.h"
 #include "load/service_time.h"
 #include "load/strategies.h"
 #include "records/request_table.h"
@@ -35,7 +35,7 @@
     fair_queue queue;
     service_times times;
     demand asked;
-    come_back_plan come_back;
+    retry_after_plan retry_after;
     // Dispatched by this owner; those taken over are counted in slots_in_use only.
     std::map<records::request_id, running_request> running;
     const strategies* how = &default_strategies();
--- a/libraries/membership/peer_table.cpp
+++ b/libraries/membership/peer_table.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 bool is_live(const peer& known, clock::time_point now) {
-    return known.last_heard && now - *known.last_heard < dead_after;
+    return known.last_heartbeat_at && now - *known.last_heartbeat_at < dead_after;
 }
 
 }  // namespace
@@ -40,7 +40,7 @@
     }
 }
 
-bool peer_table::note_heard(const wire::peer_message& message, clock::time_point now) {
+bool peer_table::note_heartbeat_from(const wire::peer_message& message, clock::time_point now) {
     if (message.sender == self_) {
         return false;
     }
@@ -56,7 +56,7 @@
         replace_claims(known, {});
         known.is_leaving = false;
         known.last_stamp = 0;
-        known.last_heard.reset();
+        known.last_heartbeat_at.reset();
         known.incarnation = message.incarnation;
         // It takes nothing before it has listened for dead_after, and by then it has heard us.
         known.confirmed = now;
@@ -64,7 +64,7 @@
     if (message.__isset.beat && message.beat.stamp < known.last_stamp) {
         return false;
     }
-    known.last_heard = now;
+    known.last_heartbeat_at = now;
     if (message.__isset.beat) {
         note_heartbeat(known, message.beat, now);
     }
@@ -84,7 +84,7 @@
     }
     replace_claims(known, std::move(claims));
     if (beat.is_stopping) {
-        known.last_heard.reset();
+        known.last_heartbeat_at.reset();
     }
 }
 
@@ -109,7 +109,8 @@
 void peer_table::forget_old(clock::time_point now) {
     for (auto each = peers_.begin(); each != peers_.end();) {
         auto& known = each->second;
-        const bool is_silent = !known.last_heard || now - *known.last_heard >= forget_after;
+        const bool is_silent =
+            !known.last_heartbeat_at || now - *known.last_heartbeat_at >= forget_after;
         if (known.is_listed || !is_silent) {
             ++each;
             continue;
--- a/libraries/membership/peer_table.h
+++ b/libraries/membership/peer_table.h
@@ -43,7 +43,8 @@
     std::string zone;
     std::string address;
     std::int64_t incarnation = 0;
-    std::optional<clock::time_point> last_heard;  // none: never heard, or stopped in a planned way
+    std::optional<clock::time_point>
+        last_heartbeat_at;  // none: never heard, or stopped in a planned way
     bool is_listed = false;
     bool is_leaving = false;
     std::int64_t configuration_version = 0;
@@ -71,7 +72,7 @@
 
     // Returns false when the message is from an earlier life of the peer, or a heartbeat older than
     // one that was heard already, and must be ignored.
-    bool note_heard(const wire::peer_message& message, clock::time_point now);
+    bool note_heartbeat_from(const wire::peer_message& message, clock::time_point now);
     void forget_old(clock::time_point now);
 
     const peer* find(std::string_view name) const;
--- a/libraries/outbox/outbox.cpp
+++ b/libraries/outbox/outbox.cpp
@@ -24,9 +24,9 @@
     return true;
 }
 
-void outbox::refuse(const wire::packet& subject, result_code code, clock::duration come_back) {
+void outbox::refuse(const wire::packet& subject, result_code code, clock::duration retry_after) {
     auto reply = reply_to(subject, wire::packet_kind::refused, code);
-    reply.come_back_ms = static_cast<std::int32_t>(come_back.count());
+    reply.come_back_ms = static_cast<std::int32_t>(retry_after.count());
     send_caller(std::move(reply));
 }
 
--- a/libraries/outbox/outbox.h
+++ b/libraries/outbox/outbox.h
@@ -29,8 +29,9 @@
     void log(log_event event) { actions_.emplace_back(std::move(event)); }
     void note_ended(request_ended event) { actions_.emplace_back(std::move(event)); }
 
-    // Final answer to a caller that its packet led to nothing; `come_back` says when to try again.
-    void refuse(const wire::packet& subject, result_code code, clock::duration come_back);
+    // Final answer to a caller that its packet led to nothing; `retry_after` says when to try
+    // again.
+    void refuse(const wire::packet& subject, result_code code, clock::duration retry_after);
     // Final answer to a caller that nobody knows whether its request ran.
     void answer_unknown(const wire::packet& subject, result_code code);
     void drop(const wire::packet& subject, result_code code);
--- a/libraries/records/request_table.cpp
+++ b/libraries/records/request_table.cpp
@@ -81,7 +81,7 @@
     set_slot(subject, true);
 }
 
-void request_table::wait_again(request& subject) {
+void request_table::requeue(request& subject) {
     subject.state = request_state::waiting;
     set_slot(subject, false);
 }
--- a/libraries/records/request_table.h
+++ b/libraries/records/request_table.h
@@ -83,7 +83,7 @@
                  clock::time_point now);
     void dispatch(request& subject, std::int64_t dispatch);
     // The target has not run it: it waits again.
-    void wait_again(request& subject);
+    void requeue(request& subject);
     // Gives the request its outcome. A slot that it holds stays counted until free_slot.
     void end(request& subject, wire::packet outcome, clock::time_point now);
     void free_slot(request& subject);
--- a/libraries/requests/target_owner.cpp
+++ b/libraries/requests/target_owner.cpp
@@ -4,8 +4,8 @@
 #include <array>
 
 #include "base/hash.h"
-#include "flows/announcer.h"
 #include "flows/forget_flow.h"
+#include "flows/location_announcer.h"
 #include "load/admission.h"
 #include "requests/work_of_request.h"
 #include "routing/candidates.h"
@@ -229,11 +229,11 @@
         if (shared_.peers.holds_lease(now)) {
             dispatch(target, added, now);
         } else {
-            load::wait_again(load, work_of(added, load), now);
+            load::requeue(load, work_of(added, load), now);
         }
     } else if (const auto* refused = std::get_if<load::refusal>(&decision)) {
         refuse_request(*refused, now);
-    } else if (const auto& left = std::get<load::wait_for_slot>(decision).pushed_out) {
+    } else if (const auto& left = std::get<load::wait_for_slot>(decision).evicted) {
         refuse_request(*left, now);
     }
 }
@@ -241,7 +241,7 @@
 void target_owner::refuse_request(const load::refusal& refused, clock::time_point now) {
     auto* subject = shared_.requests.find(refused.id);
     if (subject != nullptr && subject->state == request_state::waiting) {
-        give_up(*subject, refused.code, refused.come_back, now);
+        give_up(*subject, refused.code, refused.retry_after, now);
     }
 }
 
@@ -258,7 +258,7 @@
 
 // The only place that says "not run". It is true of a request that waits or that the target has
 // shed, unless an owner before this one may have dispatched it.
-void target_owner::give_up(request& subject, result_code code, clock::duration come_back,
+void target_owner::give_up(request& subject, result_code code, clock::duration retry_after,
                            clock::time_point now) {
     if (subject.is_in_doubt) {
         end_request(subject,
@@ -267,7 +267,7 @@
         return;
     }
     auto refusal = reply_to(subject.content, packet_kind::refused, code);
-    refusal.come_back_ms = static_cast<std::int32_t>(come_back.count());
+    refusal.come_back_ms = static_cast<std::int32_t>(retry_after.count());
     end_request(subject, std::move(refusal), now);
 }
 
@@ -295,7 +295,7 @@
         refuse_waiting(load, now);
         return;
     }
-    for (const auto& refused : load::take_hopeless(target, load, now)) {
+    for (const auto& refused : load::take_infeasible(target, load, now)) {
         refuse_request(refused, now);
     }
     if (load.queue.empty() || !shared_.peers.holds_lease(now)) {
--- a/libraries/requests/target_owner.h
+++ b/libraries/requests/target_owner.h
@@ -82,7 +82,7 @@
 
     flows::flow& ensure_flow(const wire::forward& content, clock::time_point now);
     void repeat_outcome(request& known, const wire::packet& copy, clock::time_point now);
-    void give_up(request& subject, result_code code, clock::duration come_back,
+    void give_up(request& subject, result_code code, clock::duration retry_after,
                  clock::time_point now);
     void dispatch(const configuration::target& target, request& subject, clock::time_point now);
     void count_records(const configuration::target& target, clock::time_point now);
--- a/libraries/requests/target_owner_replies.cpp
+++ b/libraries/requests/target_owner_replies.cpp
@@ -149,8 +149,8 @@
     const bool may_retry =
         may_run_twice(subject.content) && subject.attempts < records::max_attempts;
     if (may_retry && load.slots_in_use > 0) {
-        shared_.requests.wait_again(subject);
-        load::wait_again(load, work_of(subject, load), now);
+        shared_.requests.requeue(subject);
+        load::requeue(load, work_of(subject, load), now);
         return;
     }
     give_up(subject, result_code::shed_by_target,
--- a/libraries/requests/target_owner_upkeep.cpp
+++ b/libraries/requests/target_owner_upkeep.cpp
@@ -50,7 +50,7 @@
     // before and are in no queue here; their callers would get no answer until the deadline.
     load.queue.take_all();
     for (const auto& id : shared_.requests.waiting_on(target.name)) {
-        load::wait_again(load, work_of(*shared_.requests.find(id), load), now);
+        load::requeue(load, work_of(*shared_.requests.find(id), load), now);
     }
 }
 
--- a/services/bramleybench/baselines.cpp
+++ b/services/bramleybench/baselines.cpp
@@ -34,13 +34,13 @@
     baseline{"fair_queue", "first come, first served",
              [](load::strategies& table) {
                  table.take = &load::fair_queue::take_oldest;
-                 table.push_out_for = [](load::fair_queue&, std::string_view) {
+                 table.evict_for = [](load::fair_queue&, std::string_view) {
                      return std::optional<load::waiting_request>{};
                  };
              }},
     baseline{"push_out", "a full queue refuses the newcomer",
              [](load::strategies& table) {
-                 table.push_out_for = [](load::fair_queue&, std::string_view) {
+                 table.evict_for = [](load::fair_queue&, std::string_view) {
                      return std::optional<load::waiting_request>{};
                  };
              }},
@@ -51,7 +51,7 @@
                  table.end_if_queued = &ends_at_once_queued;
              }},
     baseline{"come_back", "always 500 ms",
-             [](load::strategies& table) { table.come_back = &fixed_come_back; }},
+             [](load::strategies& table) { table.retry_after = &fixed_come_back; }},
     baseline{"work_classes", "one service time for all requests of a member",
              [](load::strategies& table) { table.class_of = &one_class; }},
 };
--- a/services/bramleybench/request_experiment.cpp
+++ b/services/bramleybench/request_experiment.cpp
@@ -165,7 +165,7 @@
             dispatch(index);
         } else if (const auto* refused = std::get_if<load::refusal>(&decision)) {
             refuse(*refused);
-        } else if (const auto& left = std::get<load::wait_for_slot>(decision).pushed_out) {
+        } else if (const auto& left = std::get<load::wait_for_slot>(decision).evicted) {
             refuse(*left);
         }
     }
@@ -179,7 +179,7 @@
         auto& subject = requests_[index];
         result_.refusal_delays.push_back(static_cast<int>((now_ - subject.sent).count()));
         if (subject.rounds++ < pattern_.repeats) {
-            schedule(now_ + refused.come_back, event_kind::repeat, index);
+            schedule(now_ + refused.retry_after, event_kind::repeat, index);
             return;
         }
         ++result_of(subject).refused;
@@ -229,7 +229,7 @@
 
     void fill(std::size_t index) {
         auto& target = targets_[index];
-        for (const auto& refused : load::take_hopeless(target.limits, target.load, now_)) {
+        for (const auto& refused : load::take_infeasible(target.limits, target.load, now_)) {
             refuse(refused);
         }
         while (const auto next = load::take_next(target.limits, target.load, now_)) {
--- a/tests/configuration_spread_test.cpp
+++ b/tests/configuration_spread_test.cpp
@@ -7,7 +7,7 @@
 
 #include "base/hash.h"
 #include "configuration/patch.h"
-#include "distribution/spread.h"
+#include "distribution/configuration_sync.h"
 #include "instance/context.h"
 #include "instance/instance.h"
 #include "support/fleet_text.h"
@@ -72,7 +72,7 @@
     }
 
     context shared;
-    distribution::spread slice;
+    distribution::configuration_sync slice;
 };
 
 std::vector<membership::listed_instance> listed(int count) {
--- a/tests/load_queue_test.cpp
+++ b/tests/load_queue_test.cpp
@@ -148,9 +148,9 @@
     ASSERT_TRUE(
         std::holds_alternative<load::wait_for_slot>(offer(request(2, "m", clock::duration{300}))));
     now_ += clock::duration{100};
-    EXPECT_TRUE(load::take_hopeless(target_, load_, now_).empty());
+    EXPECT_TRUE(load::take_infeasible(target_, load_, now_).empty());
     now_ += clock::duration{150};
-    const auto refused = load::take_hopeless(target_, load_, now_);
+    const auto refused = load::take_infeasible(target_, load_, now_);
     ASSERT_EQ(refused.size(), 1);
     EXPECT_EQ(refused.front().id.number, 2);
     EXPECT_TRUE(load_.queue.empty());
@@ -163,10 +163,10 @@
     for (int i = 2; i < 50; ++i) {
         const auto decision = offer(request(i, "m", clock::duration{50}));
         ASSERT_TRUE(std::holds_alternative<load::refusal>(decision));
-        const auto come_back = std::get<load::refusal>(decision).come_back;
-        EXPECT_GT(come_back.count(), 0);
-        EXPECT_LE(come_back, load::longest_come_back);
-        times.insert(come_back);
+        const auto retry_after = std::get<load::refusal>(decision).retry_after;
+        EXPECT_GT(retry_after.count(), 0);
+        EXPECT_LE(retry_after, load::max_retry_after);
+        times.insert(retry_after);
     }
     EXPECT_GT(times.size(), 40);
 }
