--- a/services/bramleybench/overload_fleet.cpp
+++ b/services/bramleybench/overload_fleet.cpp
@@ -92,8 +92,8 @@
     made.digests = std::make_unique<fleet::peer_digests>(known_, name, zone_name(zone), 1);
     made.cold = std::make_unique<steering::cold_gate>(name);
     made.core = std::make_unique<steering::steering>(
-        steering::location{.zone = zone_name(zone), .regions = {}}, known_, *made.cold, *made.digests,
-        log_, observer_);
+        steering::location{.zone = zone_name(zone), .regions = {}}, known_, *made.cold,
+        *made.digests, log_, observer_);
 }
 
 wire::digest overload_fleet::digest_of(const instance& subject, clock::time_point now) const {
--- a/services/bramleyd/peer_exchange.cpp
+++ b/services/bramleyd/peer_exchange.cpp
@@ -231,7 +231,8 @@
     return wire::encode_store_changes(response, key_);
 }
 
-void peer_exchange::request_removed_items(const fleet::pull_source& from, removed_items_callback done) {
+void peer_exchange::request_removed_items(const fleet::pull_source& from,
+                                          removed_items_callback done) {
     http_client_.get(
         "http://" + from.address + std::string{removed_items_path}, pull_timeout,
         [this, peer = from.peer, done = std::move(done)](const net::http_result& response) {
--- a/services/bramleyd/target_checks.cpp
+++ b/services/bramleyd/target_checks.cpp
@@ -80,12 +80,13 @@
                   });
 }
 
-void target_checks::request_indirect_probe(const discovery::peer_entry& peer, discovery::routing_token token) {
+void target_checks::request_indirect_probe(const discovery::peer_entry& peer,
+                                           discovery::routing_token token) {
     peer_exchange_.send_probe_request(peer, token);
 }
 
-void target_checks::send_indirect_probe_result(const discovery::peer_entry& peer, discovery::routing_token token,
-                           bool is_reachable) {
+void target_checks::send_indirect_probe_result(const discovery::peer_entry& peer,
+                                               discovery::routing_token token, bool is_reachable) {
     peer_exchange_.send_probe_result(peer, token, is_reachable);
 }
 
--- a/services/bramleyd/target_checks.h
+++ b/services/bramleyd/target_checks.h
@@ -41,9 +41,10 @@
 
 private:
     void probe(const discovery::target& target) override;
-    void request_indirect_probe(const discovery::peer_entry& peer, discovery::routing_token token) override;
-    void send_indirect_probe_result(const discovery::peer_entry& peer, discovery::routing_token token,
-                bool is_reachable) override;
+    void request_indirect_probe(const discovery::peer_entry& peer,
+                                discovery::routing_token token) override;
+    void send_indirect_probe_result(const discovery::peer_entry& peer,
+                                    discovery::routing_token token, bool is_reachable) override;
     void on_dead(const discovery::target& target, clock::time_point probed_at,
                  std::span<const std::string> confirmed_by, clock::time_point now) override;
     void on_reported_dead(const discovery::target& target, clock::time_point until) override;
--- a/tests/steering_caller_shares_test.cpp
+++ b/tests/steering_caller_shares_test.cpp
@@ -103,7 +103,7 @@
     }
     for (std::uint32_t caller = 2; caller < 6; ++caller) {
         flows.record_attempt({.caller = {.address = caller, .port = 1}, .route = {}},
-                           start + clock::duration{10'000});
+                             start + clock::duration{10'000});
     }
     EXPECT_TRUE(flows.callers().is_heavy(heavy_caller));
     auto data = packet(1);
--- a/tests/support/steering_session.cpp
+++ b/tests/support/steering_session.cpp
@@ -71,14 +71,16 @@
 }
 
 void steering_session::instance_node::request_indirect_probe(const discovery::peer_entry& peer,
-                                          discovery::routing_token token) {
-    session.find_instance(peer.name).failure_detector.on_indirect_probe_request(name, token, session.now_);
+                                                             discovery::routing_token token) {
+    session.find_instance(peer.name).failure_detector.on_indirect_probe_request(name, token,
+                                                                                session.now_);
 }
 
 void steering_session::instance_node::send_indirect_probe_result(const discovery::peer_entry& peer,
-                                             discovery::routing_token token, bool is_reachable) {
-    session.find_instance(peer.name).failure_detector.on_indirect_probe_result(name, token, is_reachable,
-                                                                session.now_);
+                                                                 discovery::routing_token token,
+                                                                 bool is_reachable) {
+    session.find_instance(peer.name).failure_detector.on_indirect_probe_result(
+        name, token, is_reachable, session.now_);
 }
 
 void steering_session::instance_node::on_dead(const discovery::target& target,
