--- a/libraries/routing/candidates.cpp
+++ b/libraries/routing/candidates.cpp
@@ -10,7 +10,8 @@
 namespace bramleytrack::routing {
 namespace {
 
-// -weight / ln(u) with u uniform in (0, 1): the highest score wins in proportion to its weight.
+// -weight / ln(u) with u uniform in (0, 1): a target has the highest score with a probability in
+// proportion to its weight.
 double weighted_score(std::uint64_t hash, double weight) {
     constexpr int fraction_bits = 53;
     const auto fraction = static_cast<double>(hash >> (64 - fraction_bits)) + 0.5;
@@ -18,7 +19,8 @@
     return -weight / std::log(uniform);
 }
 
-std::size_t end_of_weight(std::span<const configuration::scored_target> all, std::size_t begin) {
+std::size_t end_of_equal_weights(std::span<const configuration::scored_target> all,
+                                 std::size_t begin) {
     auto end = begin + 1;
     while (end < all.size() && all[end].weight == all[begin].weight) {
         ++end;
@@ -26,19 +28,20 @@
     return end;
 }
 
-// The best max_candidates of all targets added, without an allocation.
+// Keeps the max_candidates highest scores of all targets added, without allocating.
 class best_candidates {
 public:
-    // Among targets of one weight the score rises with the hash, so that the hash alone picks them
-    // and the logarithm, which costs more than the rest together, is taken for the picked only.
+    // Among targets of equal weight the score rises with the hash. The hash alone therefore selects
+    // them, and the logarithm, which costs more than all the rest, is computed for those only.
     void add_equal_weights(std::span<const configuration::scored_target> targets, flow_key key) {
         ranking<std::uint64_t> by_hash;
         for (const auto& each : targets) {
             by_hash.add(hash_of(each.name_hash, key), each.position);
         }
         for (std::size_t i = 0; i < by_hash.size; ++i) {
-            const auto& picked = by_hash.entries[i];
-            by_score_.add(weighted_score(picked.score, targets.front().weight), picked.position);
+            const auto& selected = by_hash.entries[i];
+            by_score_.add(weighted_score(selected.score, targets.front().weight),
+                          selected.position);
         }
     }
 
@@ -59,7 +62,7 @@
             Score score{};
             std::uint32_t position = 0;
         };
-        std::array<entry, max_candidates> entries;  // falling scores up to `size`
+        std::array<entry, max_candidates> entries;  // by descending score, up to `size`
         std::size_t size = 0;
 
         void add(Score score, std::uint32_t position) {
@@ -67,11 +70,11 @@
                 return;
             }
             size = std::min(size + 1, max_candidates);
-            auto place = size - 1;
-            for (; place > 0 && score > entries[place - 1].score; --place) {
-                entries[place] = entries[place - 1];
+            auto index = size - 1;
+            for (; index > 0 && score > entries[index - 1].score; --index) {
+                entries[index] = entries[index - 1];
             }
-            entries[place] = {score, position};
+            entries[index] = {score, position};
         }
     };
 
@@ -81,8 +84,8 @@
 }  // namespace
 
 flow_key key_of(std::string_view service_address, std::string_view caller, std::int64_t flow) {
-    const auto ends = hash_of(hash_of(service_address), hash_of(caller));
-    return hash_of(ends, static_cast<std::uint64_t>(flow));
+    const auto endpoints_hash = hash_of(hash_of(service_address), hash_of(caller));
+    return hash_of(endpoints_hash, static_cast<std::uint64_t>(flow));
 }
 
 flow_key key_of(const wire::packet& packet) {
@@ -94,22 +97,22 @@
     const auto all = configuration.scored_targets_of(service);
     best_candidates best;
     for (std::size_t begin = 0; begin < all.size();) {
-        const auto end = end_of_weight(all, begin);
+        const auto end = end_of_equal_weights(all, begin);
         best.add_equal_weights(all.subspan(begin, end - begin), key);
         begin = end;
     }
     return best.targets(configuration);
 }
 
-std::string_view rendezvous_winner(std::span<const std::string> names, std::string_view subject) {
+std::string_view rendezvous_winner(std::span<const std::string> names, std::string_view key) {
     std::string_view winner;
-    std::uint64_t best = 0;
-    const auto subject_hash = hash_of(subject);
+    std::uint64_t best_score = 0;
+    const auto key_hash = hash_of(key);
     for (const auto& name : names) {
-        const auto score = hash_of(hash_of(name), subject_hash);
-        if (winner.empty() || score > best) {
+        const auto score = hash_of(hash_of(name), key_hash);
+        if (winner.empty() || score > best_score) {
             winner = name;
-            best = score;
+            best_score = score;
         }
     }
     return winner;
--- a/tests/candidates_test.cpp
+++ b/tests/candidates_test.cpp
@@ -1,4 +1,4 @@
-// Routing: which targets a flow may be placed on.
+// Routing: the candidate targets of a flow.
 #include "routing/candidates.h"
 
 #include <gtest/gtest.h>
@@ -28,9 +28,9 @@
     return result;
 }
 
-TEST(candidates, a_drain_moves_no_home) {
-    // An operator drains a target; its flows must still be found at the same home. The cause of a
-    // loss would be a candidate list that leaves draining targets out.
+TEST(candidates, drain_moves_no_home) {
+    // While an operator drains a target, its flows must still be found at the same home. A
+    // candidate list that leaves draining targets out would lose them.
     auto before = ten_targets();
     auto after = before;
     after.targets[3].state = configuration::target_state::draining;
@@ -41,7 +41,7 @@
     }
 }
 
-TEST(candidates, a_removed_target_moves_only_its_own_flows) {
+TEST(candidates, removed_target_moves_only_its_own_flows) {
     const auto before = ten_targets();
     auto after = before;
     after.targets.erase(after.targets.begin() + 3);
@@ -54,7 +54,7 @@
     }
 }
 
-TEST(candidates, a_zone_that_is_out_has_none) {
+TEST(candidates, zone_that_is_out_has_no_candidates) {
     auto configuration = ten_targets();
     configuration.zones[0].state = configuration::zone_state::out;
     configuration.finish();
@@ -65,9 +65,9 @@
     }
 }
 
-// The definition of the order, without an index: what candidates_of must agree with.
-std::vector<std::string> scored_one_by_one(const configuration::configuration& configuration,
-                                           std::string_view service, routing::flow_key key) {
+// Reference implementation of the order, without an index, that candidates_of must agree with.
+std::vector<std::string> reference_candidates(const configuration::configuration& configuration,
+                                              std::string_view service, routing::flow_key key) {
     std::vector<std::pair<double, std::string>> all;
     for (const auto& each : configuration.targets) {
         const bool is_in = std::ranges::any_of(configuration.zones, [&](const auto& zone) {
@@ -87,7 +87,8 @@
     return names;
 }
 
-RC_GTEST_PROP(candidates, agree_with_their_definition, (const std::vector<std::uint8_t>& picks)) {
+RC_GTEST_PROP(candidates, agree_with_the_reference_implementation,
+              (const std::vector<std::uint8_t>& picks)) {
     configuration::configuration configuration;
     configuration.zones = {{.name = "north"},
                            {.name = "south", .state = configuration::zone_state::out}};
@@ -102,13 +103,13 @@
         configuration.targets.push_back(std::move(added));
     }
     configuration.finish();
-    const auto moved = std::move(configuration);
+    const auto finished = std::move(configuration);
     for (routing::flow_key key = 0; key < 20; ++key) {
         std::vector<std::string> names;
-        for (const auto* each : routing::candidates_of(moved, "board", key)) {
+        for (const auto* each : routing::candidates_of(finished, "board", key)) {
             names.push_back(each->name);
         }
-        RC_ASSERT(names == scored_one_by_one(moved, "board", key));
+        RC_ASSERT(names == reference_candidates(finished, "board", key));
     }
 }
 
