--- a/libraries/outbox/action.h
+++ b/libraries/outbox/action.h
@@ -1,4 +1,4 @@
-// What the core wants done: typed effects that a daemon turns into datagrams and log lines.
+// Output of the core: typed actions that a daemon turns into datagrams, log lines and histograms.
 #pragma once
 
 #include <string>
@@ -27,7 +27,7 @@
     wire::peer_message content;
 };
 
-// A request got its final outcome; feeds the histograms.
+// A request got its final outcome; recorded in the histograms.
 struct request_ended {
     std::string service;
     std::string member;
--- a/libraries/outbox/identity.h
+++ b/libraries/outbox/identity.h
@@ -1,4 +1,4 @@
-// Who this instance is, fixed for its life.
+// Identity of this instance, constant during its lifetime, and its counters.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace bramleytrack {
 
-// How packets find their targets. plain_hashing is the baseline of the measurements only.
+// How packets are routed to targets. plain_hashing is only a baseline for measurements.
 enum class routing_strategy { owners, plain_hashing };
 
 // How often the daemon calls on_tick.
@@ -18,12 +18,12 @@
     std::string name;
     std::string zone;
     std::string peer_address;      // ip:port where peers reach this instance
-    std::int64_t incarnation = 0;  // rises with each start; milliseconds of the start
+    std::int64_t incarnation = 0;  // start time in milliseconds, so it rises with each start
     clock::time_point started;
     routing_strategy strategy = routing_strategy::owners;
 };
 
-// Counters of one instance; served as metrics.
+// Counters of one instance, exported as metrics.
 struct counters {
     std::int64_t packets_from_callers = 0;
     std::int64_t packets_forwarded = 0;
--- a/libraries/outbox/outbox.cpp
+++ b/libraries/outbox/outbox.cpp
@@ -2,9 +2,9 @@
 
 namespace bramleytrack {
 
-// Failure: any path to a target that wasn't taught about zones, such as a load report or a repeated
-// probe, keeps sending to a zone that operators have taken out. This is the last line before the
-// target, so none can.
+// Checks the zone here, in the only way to a target, because a sender that doesn't check it, such
+// as a load report query or a repeated probe, would keep sending to a zone that operators have
+// taken out.
 void outbox::send_target(const configuration::target& target, wire::packet content) {
     if (!configuration_.is_zone_in(target.zone)) {
         ++counts_.withheld;
@@ -24,34 +24,34 @@
     return true;
 }
 
-void outbox::refuse(const wire::packet& subject, result_code code, clock::duration retry_after) {
-    auto reply = reply_to(subject, wire::packet_kind::refused, code);
+void outbox::refuse(const wire::packet& packet, result_code code, clock::duration retry_after) {
+    auto reply = reply_to(packet, wire::packet_kind::refused, code);
     reply.come_back_ms = static_cast<std::int32_t>(retry_after.count());
     send_caller(std::move(reply));
 }
 
-void outbox::answer_unknown(const wire::packet& subject, result_code code) {
-    send_caller(reply_to(subject, wire::packet_kind::unknown, code));
+void outbox::answer_unknown(const wire::packet& packet, result_code code) {
+    send_caller(reply_to(packet, wire::packet_kind::unknown, code));
 }
 
-void outbox::drop(const wire::packet& subject, result_code code) {
+void outbox::drop(const wire::packet& packet, result_code code) {
     ++counts_.dropped;
     log(log_event{"dropped"}
             .with("code", name_of(code))
-            .with("service_address", subject.service_address)
-            .with("caller", subject.caller)
-            .with("flow", subject.flow));
+            .with("service_address", packet.service_address)
+            .with("caller", packet.caller)
+            .with("flow", packet.flow));
 }
 
-wire::packet reply_to(const wire::packet& subject, wire::packet_kind kind, result_code code) {
+wire::packet reply_to(const wire::packet& packet, wire::packet_kind kind, result_code code) {
     wire::packet reply;
     reply.kind = kind;
-    reply.service_address = subject.service_address;
-    reply.caller = subject.caller;
-    reply.flow = subject.flow;
-    reply.member = subject.member;
-    reply.request = subject.request;
-    reply.may_repeat = subject.may_repeat;
+    reply.service_address = packet.service_address;
+    reply.caller = packet.caller;
+    reply.flow = packet.flow;
+    reply.member = packet.member;
+    reply.request = packet.request;
+    reply.may_repeat = packet.may_repeat;
     reply.code = static_cast<std::int32_t>(code);
     return reply;
 }
--- a/libraries/outbox/outbox.h
+++ b/libraries/outbox/outbox.h
@@ -1,5 +1,5 @@
-// What one instance says: packets to callers, targets and peers, log lines, and the ends of
-// requests, collected until the daemon carries them out.
+// Collects the output of one instance until the daemon carries it out: packets to callers, targets
+// and peers, log events, and the outcomes of requests.
 #pragma once
 
 #include <string_view>
@@ -24,17 +24,16 @@
         actions_.emplace_back(send_to_caller{std::move(content)});
     }
     void send_target(const configuration::target& target, wire::packet content);
-    // Returns false when no address of the peer is known.
+    // Returns false if the peer has no known address.
     bool send_peer(std::string_view name, wire::peer_message content);
     void log(log_event event) { actions_.emplace_back(std::move(event)); }
-    void note_ended(request_ended event) { actions_.emplace_back(std::move(event)); }
+    void report_request_ended(request_ended event) { actions_.emplace_back(std::move(event)); }
 
-    // Final answer to a caller that its packet led to nothing; `retry_after` says when to try
-    // again.
-    void refuse(const wire::packet& subject, result_code code, clock::duration retry_after);
-    // Final answer to a caller that nobody knows whether its request ran.
-    void answer_unknown(const wire::packet& subject, result_code code);
-    void drop(const wire::packet& subject, result_code code);
+    // Final reply to a caller: its packet had no effect, and it may retry after `retry_after`.
+    void refuse(const wire::packet& packet, result_code code, clock::duration retry_after);
+    // Final reply to a caller: it isn't known whether its request ran.
+    void answer_unknown(const wire::packet& packet, result_code code);
+    void drop(const wire::packet& packet, result_code code);
 
     std::vector<action> take_actions() { return std::exchange(actions_, {}); }
 
@@ -46,7 +45,7 @@
     std::vector<action> actions_;
 };
 
-// A reply to `subject` that carries its flow, member and request number.
-wire::packet reply_to(const wire::packet& subject, wire::packet_kind kind, result_code code);
+// A reply to `packet` that carries its flow, member and request number.
+wire::packet reply_to(const wire::packet& packet, wire::packet_kind kind, result_code code);
 
 }  // namespace bramleytrack
--- a/libraries/outbox/packet_path.h
+++ b/libraries/outbox/packet_path.h
@@ -1,5 +1,5 @@
-// Where a packet goes next inside one instance: the way back up for slices that mustn't know those
-// above them.
+// The next stage of a packet inside one instance, as an interface: lower components pass packets up
+// through it without a dependency on those above them.
 #pragma once
 
 #include <string_view>
@@ -18,7 +18,7 @@
 
     virtual void to_home(wire::forward content, clock::time_point now) = 0;
     virtual void to_owner(wire::forward content, clock::time_point now) = 0;
-    // The owner of `target` is about to change: `content` waits for the new one.
+    // Holds `content` until the new owner of `target` is known, as the owner is about to change.
     virtual void hold(std::string_view target, wire::forward content) = 0;
     virtual void decline(const wire::placement_declined& declined, clock::time_point now) = 0;
 };
--- a/libraries/requests/target_owner.cpp
+++ b/libraries/requests/target_owner.cpp
@@ -316,10 +316,11 @@
         shared_.loads[subject.target].queue.erase(subject.id);
     }
     const auto* target = shared_.configuration.find_target(subject.target);
-    shared_.out.note_ended({.service = target == nullptr ? std::string{} : target->service,
-                            .member = outcome.member,
-                            .outcome = outcome.kind,
-                            .elapsed = now - subject.arrived});
+    shared_.out.report_request_ended(
+        {.service = target == nullptr ? std::string{} : target->service,
+         .member = outcome.member,
+         .outcome = outcome.kind,
+         .elapsed = now - subject.arrived});
     shared_.out.send_caller(outcome);
     shared_.requests.end(subject, std::move(outcome), now);
 }
