--- a/benchmarks/load_benchmark.cpp
+++ b/benchmarks/load_benchmark.cpp
@@ -55,7 +55,7 @@
     const std::array candidates{load::candidate{.is_eligible = true, .relative_load = 1'000},
                                 load::candidate{.is_eligible = true, .relative_load = 900}};
     for (auto _ : state) {
-        benchmark::DoNotOptimize(load::order_of_candidates(candidates));
+        benchmark::DoNotOptimize(load::order_candidates(candidates));
     }
 }
 BENCHMARK(order_two_candidates);
--- a/libraries/flows/home.cpp
+++ b/libraries/flows/home.cpp
@@ -111,7 +111,7 @@
     remember(key, content.target, now);
     content.is_new = true;
     if (shared_.ownership.find(content.target) == nullptr) {
-        shared_.placements.note_placed(content.target);
+        shared_.placements.record_placement(content.target);
     }
     path_.to_owner(std::move(content), now);
 }
@@ -140,7 +140,7 @@
         each.is_eligible = each.is_eligible && !owner.empty();
         candidates.push_back(each);
     }
-    const auto order = load::order_of_candidates(candidates);
+    const auto order = load::order_candidates(candidates);
     return order.empty() ? std::string{} : targets[order.front()]->name;
 }
 
--- a/libraries/hand_over/membership_protocol.cpp
+++ b/libraries/hand_over/membership_protocol.cpp
@@ -131,7 +131,7 @@
 void membership_protocol::on_heartbeat(const wire::peer_message& message, clock::time_point now) {
     for (const auto& load : message.beat.owned) {
         shared_.reported_loads[load.target] = load;
-        shared_.placements.note_report(load.target);
+        shared_.placements.reset_on_report(load.target);
         shared_.ownership.note_epoch(load.target, load.epoch);
         const auto* owned = shared_.ownership.find(load.target);
         if (owned != nullptr &&
--- a/libraries/hand_over/membership_protocol.h
+++ b/libraries/hand_over/membership_protocol.h
@@ -56,7 +56,7 @@
         records::request_table& requests;
         load::target_loads& loads;
         load::reported_loads& reported_loads;
-        load::placement_memory& placements;
+        load::unreported_placements& placements;
         outbox& out;
     };
 
--- a/libraries/instance/context.h
+++ b/libraries/instance/context.h
@@ -38,7 +38,7 @@
     records::request_table requests;
     load::target_loads loads;
     load::reported_loads reported_loads;
-    load::placement_memory placements;  // on peers' targets, by this home
+    load::unreported_placements placements;  // on peers' targets, by this home
     outbox out;
 };
 
--- a/libraries/load/placement.cpp
+++ b/libraries/load/placement.cpp
@@ -4,8 +4,7 @@
 
 namespace bramleytrack::load {
 
-std::vector<std::size_t> order_of_candidates(std::span<const candidate> candidates,
-                                             double threshold) {
+std::vector<std::size_t> order_candidates(std::span<const candidate> candidates, double threshold) {
     std::vector<std::size_t> order;
     for (std::size_t i = 0; i < candidates.size(); ++i) {
         if (candidates[i].is_eligible) {
@@ -21,7 +20,7 @@
     return order;
 }
 
-void placement_memory::note_placed(std::string_view target) {
+void unreported_placements::record_placement(std::string_view target) {
     const auto found = placed_.find(target);
     if (found == placed_.end()) {
         placed_.emplace(target, 1);
@@ -30,14 +29,14 @@
     }
 }
 
-void placement_memory::note_report(std::string_view target) {
+void unreported_placements::reset_on_report(std::string_view target) {
     const auto found = placed_.find(target);
     if (found != placed_.end()) {
         placed_.erase(found);
     }
 }
 
-int placement_memory::placed_since_report(std::string_view target) const {
+int unreported_placements::placed_since_report(std::string_view target) const {
     const auto found = placed_.find(target);
     return found == placed_.end() ? 0 : found->second;
 }
--- a/services/bramleybench/cold_experiment.cpp
+++ b/services/bramleybench/cold_experiment.cpp
@@ -122,7 +122,7 @@
                 {.is_eligible = !model.is_out && load::admits_flow(*each, model.load, now_),
                  .relative_load = model.load.connections / each->weight});
         }
-        const auto order = load::order_of_candidates(candidates);
+        const auto order = load::order_candidates(candidates);
         if (order.empty()) {
             ++refused_;
             return;
--- a/services/bramleybench/placement_experiment.cpp
+++ b/services/bramleybench/placement_experiment.cpp
@@ -97,7 +97,7 @@
             for (std::size_t target = home; target < open_.size(); target += next_beat_.size()) {
                 received_[target] = open_[target];
                 for (auto& memory : memories_) {
-                    memory.note_report(configuration_.targets[target].name);
+                    memory.reset_on_report(configuration_.targets[target].name);
                 }
             }
         }
@@ -118,7 +118,7 @@
             const int load = is_own ? open_[index] : received_[index] + since;
             candidates.push_back({.is_eligible = true, .relative_load = load / each->weight});
         }
-        const auto order = load::order_of_candidates(candidates, choice_.threshold);
+        const auto order = load::order_candidates(candidates, choice_.threshold);
         const auto chosen = choice_.takes_first ? 0 : order.front();
         const auto target = index_of(found[chosen]);
         const auto member = random_() % members;
@@ -127,7 +127,7 @@
             moved_ += chosen == 0 ? 0 : 1;
         }
         if (home_of(target) != home) {
-            memories_[home].note_placed(found[chosen]->name);
+            memories_[home].record_placement(found[chosen]->name);
         }
         ++open_[target];
         ++by_member_[member][target];
@@ -171,8 +171,8 @@
     std::vector<int> open_;      // by target
     std::vector<int> received_;  // by target, as of its owner's last heartbeat
     std::vector<std::vector<int>> by_member_;
-    std::vector<load::placement_memory> memories_;  // by home
-    std::vector<double> next_beat_;                 // by home
+    std::vector<load::unreported_placements> memories_;  // by home
+    std::vector<double> next_beat_;                      // by home
     std::priority_queue<end_of_flow, std::vector<end_of_flow>, std::greater<>> ends_;
     std::vector<double> samples_;
     std::vector<double> member_samples_;
--- a/tests/load_placement_test.cpp
+++ b/tests/load_placement_test.cpp
@@ -1,4 +1,4 @@
-// How evenly flows lie on targets, and how many are placed away from their first candidate.
+// Balance of flows between targets, and the fraction placed away from their first candidate.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -10,8 +10,8 @@
 namespace bramleytrack {
 namespace {
 
-std::map<std::string, double> play(std::string_view name,
-                                   const experiments::placement_choice& choice) {
+std::map<std::string, double> run_pattern(std::string_view name,
+                                          const experiments::placement_choice& choice) {
     std::map<std::string, double> figures;
     for (const auto& pattern : experiments::all_placement_patterns()) {
         if (pattern.name != name) {
@@ -24,34 +24,34 @@
     return figures;
 }
 
-const experiments::placement_choice chosen{.threshold = load::second_choice_threshold};
+const experiments::placement_choice default_choice{.threshold = load::second_choice_threshold};
 
-// By the hash alone some members' boards share a host with 5 to 8% more flows than the mean.
-TEST(load_placement, flows_lie_evenly_on_equal_targets) {
-    EXPECT_GT(play("placement_14", {.takes_first = true})["imbalance_p99"], 1.05);
+// By the hash alone the most loaded targets have 5 to 8% more flows than the mean.
+TEST(load_placement, flows_are_balanced_across_equal_targets) {
+    EXPECT_GT(run_pattern("placement_14", {.takes_first = true})["imbalance_p99"], 1.05);
     for (const auto* name : {"placement_14", "placement_4"}) {
-        EXPECT_LE(play(name, chosen)["imbalance_p99"], 1.02) << name;
+        EXPECT_LE(run_pattern(name, default_choice)["imbalance_p99"], 1.02) << name;
     }
 }
 
-TEST(load_placement, flows_lie_evenly_on_targets_of_very_unequal_weight) {
+TEST(load_placement, flows_are_balanced_across_targets_of_unequal_weight) {
     for (const auto* name : {"placement_14_heavy", "placement_4_heavy"}) {
-        EXPECT_LE(play(name, chosen)["imbalance_p99"], 1.10) << name;
+        EXPECT_LE(run_pattern(name, default_choice)["imbalance_p99"], 1.10) << name;
     }
 }
 
 TEST(load_placement, few_flows_are_placed_away_from_their_first_candidate) {
-    EXPECT_GT(play("placement_14", {.threshold = 0})["moved"], 0.3);
-    EXPECT_LT(play("placement_14", chosen)["moved"], 0.15);
+    EXPECT_GT(run_pattern("placement_14", {.threshold = 0})["moved"], 0.3);
+    EXPECT_LT(run_pattern("placement_14", default_choice)["moved"], 0.15);
 }
 
-// Nine homes place flows between two heartbeats. Each knows at least what it has placed itself;
-// else all go on sending to the target that was the least loaded in the last heartbeat.
-TEST(load_placement, homes_count_what_they_placed_since_the_last_heartbeat) {
-    auto blind = chosen;
-    blind.counts_own = false;
-    EXPECT_LT(play("placement_14_fast", chosen)["imbalance_p99"],
-              play("placement_14_fast", blind)["imbalance_p99"]);
+// Nine homes place flows between two heartbeats. Unless each counts the flows that it has placed
+// itself, all of them keep sending to the target that was least loaded in the last heartbeat.
+TEST(load_placement, homes_count_their_placements_since_the_last_heartbeat) {
+    auto without_own_count = default_choice;
+    without_own_count.counts_own = false;
+    EXPECT_LT(run_pattern("placement_14_fast", default_choice)["imbalance_p99"],
+              run_pattern("placement_14_fast", without_own_count)["imbalance_p99"]);
 }
 
 }  // namespace
