--- a/libraries/hand_over/hand_overs.cpp
+++ b/libraries/hand_over/hand_overs.cpp
@@ -67,7 +67,7 @@
     const auto& owned = *shared_.ownership.find(target);
     head.target = target;
     head.fence_ms = std::max(clock::duration{0}, owned.fence_until - now).count();
-    head.cold_left_ms = load.cold.left(now).count();
+    head.cold_left_ms = load.cold.remaining(now).count();
     head.assumed_slots = now < load.assumed_until ? load.assumed_slots : 0;
     auto flows = shared_.flows.records_on(target);
     keep_locations(flows, target, now);
--- a/libraries/load/admission.cpp
+++ b/libraries/load/admission.cpp
@@ -27,7 +27,8 @@
 
 bool admits_flow(const configuration::target& target, const target_load& load,
                  clock::time_point now) {
-    if (target.state != configuration::target_state::active || load.inherited.awaits_report(now)) {
+    if (target.state != configuration::target_state::active ||
+        load.inherited.is_awaiting_report(now)) {
         return false;
     }
     return load.connections + load.inherited.assumed(now) < connection_bound(target, load, now);
--- a/libraries/load/cold_start.cpp
+++ b/libraries/load/cold_start.cpp
@@ -3,17 +3,18 @@
 namespace bramleytrack::load {
 namespace {
 
-// A report holds until the next but two: reports are asked for every second.
+// A report stays valid for three intervals: reports are requested every second.
 constexpr clock::duration report_validity{3'000};
-// One flow may be closed by the target's own doing; two within this time mean a restart, which
-// loses all flows: with some hundred flows that push, the second follows within milliseconds.
+// A target may close a single flow on its own; two lost flows within this time mean a restart,
+// which loses all flows. With some hundred flows that send data, the second loss follows within
+// milliseconds.
 constexpr clock::duration lost_flows_window{1'000};
 
 }  // namespace
 
-bool cold_start::see(clock::time_point now) {
+bool cold_start::begin(clock::time_point now) {
     const bool was_warm = !is_cold(now);
-    seen_until_ = now + cold_start_length;
+    observed_until_ = now + cold_start_duration;
     return was_warm;
 }
 
@@ -28,13 +29,13 @@
 }
 
 bool cold_start::on_shed(clock::time_point now) {
-    return see(now);
+    return begin(now);
 }
 
 bool cold_start::on_lost_flow(clock::time_point now) {
     const bool is_second = now - last_lost_flow_ <= lost_flows_window;
     last_lost_flow_ = now;
-    return is_second && see(now);
+    return is_second && begin(now);
 }
 
 int cold_start::connection_bound(const configuration::target& target, clock::time_point now) const {
--- a/libraries/load/inherited_connections.cpp
+++ b/libraries/load/inherited_connections.cpp
@@ -5,44 +5,47 @@
 namespace bramleytrack::load {
 namespace {
 
-// A report shows the target as it was at most so long ago.
+// Maximum age of the state that a report shows.
 constexpr clock::duration report_lag{3'000};
-// A target whose report never comes is used again after this, by the heartbeat's count alone.
-constexpr clock::duration longest_without_report{3'000};
-// Live flows show themselves within this, so that the heartbeat's count has nothing more to add.
-constexpr clock::duration heard_validity{10'000};
+// If no report arrives within this time, flows are admitted by the heartbeat count alone.
+constexpr clock::duration max_report_wait{3'000};
+// Live flows send packets and are recovered within this time; then the heartbeat count is dropped.
+constexpr clock::duration heartbeat_validity{10'000};
 
 }  // namespace
 
-void inherited_connections::begin(std::optional<int> heard, clock::time_point now) {
+void inherited_connections::begin(std::optional<int> heartbeat_count, clock::time_point now) {
     *this = {};
-    is_inheriting_ = true;
-    heard_ = heard.value_or(0);
-    heard_until_ = now + heard_validity;
-    awaits_report_until_ = heard ? now + longest_without_report : now;
+    is_active_ = true;
+    heartbeat_count_ = heartbeat_count.value_or(0);
+    heartbeat_valid_until_ = now + heartbeat_validity;
+    report_awaited_until_ = heartbeat_count ? now + max_report_wait : now;
 }
 
-void inherited_connections::on_report(int connections, int own, clock::time_point now) {
-    if (!is_inheriting_) {
+void inherited_connections::on_report(int connections, int local_connections,
+                                      clock::time_point now) {
+    if (!is_active_) {
         return;
     }
-    own_.push_back({now, own});
-    while (own_.front().at < now - report_lag) {
-        own_.pop_front();
+    local_counts_.push_back({now, local_connections});
+    while (local_counts_.front().at < now - report_lag) {
+        local_counts_.pop_front();
     }
-    const auto least = std::ranges::min_element(own_, {}, &own_count::own)->own;
-    reported_ = std::max(0, connections - least);
-    awaits_report_until_ = now;
-    is_inheriting_ = reported_ > 0 || now < heard_until_;
+    const auto min_local_connections =
+        std::ranges::min_element(local_counts_, {}, &local_count::local_connections)
+            ->local_connections;
+    reported_inherited_ = std::max(0, connections - min_local_connections);
+    report_awaited_until_ = now;
+    is_active_ = reported_inherited_ > 0 || now < heartbeat_valid_until_;
 }
 
 void inherited_connections::on_recovered() {
-    heard_ = std::max(0, heard_ - 1);
-    reported_ = std::max(0, reported_ - 1);
+    heartbeat_count_ = std::max(0, heartbeat_count_ - 1);
+    reported_inherited_ = std::max(0, reported_inherited_ - 1);
 }
 
 int inherited_connections::assumed(clock::time_point now) const {
-    return std::max(reported_, now < heard_until_ ? heard_ : 0);
+    return std::max(reported_inherited_, now < heartbeat_valid_until_ ? heartbeat_count_ : 0);
 }
 
 }  // namespace bramleytrack::load
