--- a/benchmarks/load_benchmark.cpp
+++ b/benchmarks/load_benchmark.cpp
@@ -1,4 +1,4 @@
-// What the decisions under load cost: admission of a request at a busy target, and placement.
+// Cost of the load decisions: admission of a request at a busy target, and placement of a flow.
 #include <benchmark/benchmark.h>
 
 #include <array>
@@ -12,8 +12,8 @@
 constexpr int members = 8;
 constexpr std::array<std::string_view, members> names{"a", "b", "c", "d", "e", "f", "g", "h"};
 
-// One request comes and one ends, at a target whose slots are busy and whose queue is three
-// quarters full of eight members' requests.
+// One request arrives and one ends, at a target whose slots are busy and whose queue is three
+// quarters full with requests of eight members.
 void admit_at_a_busy_target(benchmark::State& state) {
     configuration::target target;
     target.slots = 2;
@@ -28,24 +28,25 @@
                           .deadline = now + clock::duration{3'000}};
     };
     for (const auto& name : names) {
-        load.times.note(name, 0, clock::duration{20}, now);
+        load.times.record(name, 0, clock::duration{20}, now);
     }
     load.slots_in_use = target.slots;
-    for (int i = 0; i < target.slots * load::queue_per_slot * 3 / 4; ++i) {
+    for (int i = 0; i < target.slots * load::max_queued_per_slot * 3 / 4; ++i) {
         load::admit_request(target, load, next_work(), now);
     }
     for (auto _ : state) {
         now += clock::duration{10};
-        const auto wanted = next_work();
-        benchmark::DoNotOptimize(load::admit_request(target, load, wanted, now));
+        const auto request = next_work();
+        benchmark::DoNotOptimize(load::admit_request(target, load, request, now));
         benchmark::DoNotOptimize(load::take_infeasible(target, load, now));
         --load.slots_in_use;
         const auto next = load::take_next(target, load, now);
         ++load.slots_in_use;
-        auto dispatched = wanted;
-        dispatched.id = next.value_or(wanted.id);
-        load::note_dispatched(load, dispatched, now);
-        load::note_ended(load, dispatched.id, load::ending::answered, now + clock::duration{20});
+        auto dispatched = request;
+        dispatched.id = next.value_or(request.id);
+        load::record_dispatch(load, dispatched, now);
+        load::record_end(load, dispatched.id, load::run_outcome::answered,
+                         now + clock::duration{20});
     }
     state.counters["waiting"] = static_cast<double>(load.queue.size());
 }
--- a/libraries/load/admission.cpp
+++ b/libraries/load/admission.cpp
@@ -9,7 +9,7 @@
                result_code code, clock::time_point now) {
     return {.id = refused.id,
             .code = code,
-            .retry_after = load.how->retry_after(target, load, refused, now)};
+            .retry_after = load.strategy->retry_after(target, load, refused, now)};
 }
 
 }  // namespace
@@ -34,31 +34,36 @@
     return load.connections + load.inherited.assumed(now) < connection_bound(target, load, now);
 }
 
-admission admit_request(const configuration::target& target, target_load& load, const work& wanted,
+admission admit_request(const configuration::target& target, target_load& load, const work& request,
                         clock::time_point now) {
-    load.asked.note(wanted.member, load.times.of(wanted.member, wanted.kind).mean, now);
-    const bool is_free = load.queue.empty() && load.slots_in_use < slot_bound(target, load, now);
-    const auto end = is_free ? load.how->end_if_dispatched(load, wanted, now)
-                             : load.how->end_if_queued(target, load, wanted, now);
-    const bool fits = end <= wanted.deadline && now < wanted.deadline;
-    if (!fits && !(is_free && load.times.take_probe(wanted.member, wanted.kind, now))) {
-        return refuse(target, load, wanted, result_code::deadline_too_near, now);
+    load.member_demand.record(request.member, load.times.of(request.member, request.kind).mean,
+                              now);
+    const bool can_run_now =
+        load.queue.empty() && load.slots_in_use < slot_bound(target, load, now);
+    const auto end = can_run_now ? load.strategy->end_if_dispatched(load, request, now)
+                                 : load.strategy->end_if_queued(target, load, request, now);
+    const bool meets_deadline = end <= request.deadline && now < request.deadline;
+    if (!meets_deadline &&
+        !(can_run_now && load.times.take_probe(request.member, request.kind, now))) {
+        return refuse(target, load, request, result_code::deadline_too_near, now);
     }
-    if (is_free) {
+    if (can_run_now) {
         return run_now{};
     }
     wait_for_slot result;
-    const auto room = static_cast<std::size_t>(target.slots) * queue_per_slot;
-    if (load.queue.size() >= room) {
-        const auto left = load.how->evict_for(load.queue, wanted.member);
-        if (!left) {
-            return refuse(target, load, wanted, result_code::queue_full, now);
+    const auto queue_capacity = static_cast<std::size_t>(target.slots) * max_queued_per_slot;
+    if (load.queue.size() >= queue_capacity) {
+        const auto evicted_request = load.strategy->evict_for(load.queue, request.member);
+        if (!evicted_request) {
+            return refuse(target, load, request, result_code::queue_full, now);
         }
-        const work evicted{
-            .id = left->id, .member = left->member, .kind = left->kind, .deadline = left->deadline};
-        result.evicted = refuse(target, load, evicted, result_code::queue_full, now);
+        const work evicted_work{.id = evicted_request->id,
+                                .member = evicted_request->member,
+                                .kind = evicted_request->kind,
+                                .deadline = evicted_request->deadline};
+        result.evicted = refuse(target, load, evicted_work, result_code::queue_full, now);
     }
-    load.queue.push(wanted, load.times.of(wanted.member, wanted.kind).mean, now);
+    load.queue.push(request, load.times.of(request.member, request.kind).mean, now);
     return result;
 }
 
@@ -67,7 +72,8 @@
     const auto taken = load.queue.take_if([&](const waiting_request& each) {
         const work as_work{
             .id = each.id, .member = each.member, .kind = each.kind, .deadline = each.deadline};
-        return now >= each.deadline || load.how->latest_end(load, as_work, now) > each.deadline;
+        return now >= each.deadline ||
+               load.strategy->latest_end(load, as_work, now) > each.deadline;
     });
     std::vector<refusal> result;
     for (const auto& each : taken) {
@@ -83,32 +89,33 @@
     if (load.slots_in_use >= slot_bound(target, load, now)) {
         return std::nullopt;
     }
-    const auto next = (load.queue.*load.how->take)();
+    const auto next = (load.queue.*load.strategy->take)();
     return next ? std::optional{next->id} : std::nullopt;
 }
 
-void requeue(target_load& load, const work& subject, clock::time_point now) {
-    load.queue.push(subject, load.times.of(subject.member, subject.kind).mean, now);
+void requeue(target_load& load, const work& request, clock::time_point now) {
+    load.queue.push(request, load.times.of(request.member, request.kind).mean, now);
 }
 
-void note_dispatched(target_load& load, const work& subject, clock::time_point now) {
-    load.running[subject.id] = {.member = std::string{subject.member},
-                                .kind = subject.kind,
-                                .cost = load.times.of(subject.member, subject.kind).mean,
-                                .since = now};
+void record_dispatch(target_load& load, const work& request, clock::time_point now) {
+    load.running[request.id] = {.member = std::string{request.member},
+                                .kind = request.kind,
+                                .cost = load.times.of(request.member, request.kind).mean,
+                                .dispatched_at = now};
 }
 
-void note_ended(target_load& load, const records::request_id& id, ending how,
+void record_end(target_load& load, const records::request_id& id, run_outcome outcome,
                 clock::time_point now) {
     const auto found = load.running.find(id);
     if (found == load.running.end()) {
         return;
     }
     const auto& ended = found->second;
-    if (how != ending::not_run) {
-        load.times.note(ended.member, ended.kind, now - ended.since, now);
+    if (outcome != run_outcome::not_run) {
+        load.times.record(ended.member, ended.kind, now - ended.dispatched_at, now);
     }
-    load.queue.charge(ended.member, static_cast<double>((now - ended.since).count()) - ended.cost);
+    load.queue.charge(ended.member,
+                      static_cast<double>((now - ended.dispatched_at).count()) - ended.cost);
     load.running.erase(found);
 }
 
--- a/libraries/load/demand.cpp
+++ b/libraries/load/demand.cpp
@@ -9,11 +9,11 @@
 
 }  // namespace
 
-double demand::average::at(clock::time_point now) const {
-    return sum * std::exp(-static_cast<double>((now - updated).count()) / time_constant);
+double demand::decaying_sum::at(clock::time_point now) const {
+    return sum * std::exp(-static_cast<double>((now - updated_at).count()) / time_constant);
 }
 
-void demand::note(std::string_view member, double cost, clock::time_point now) {
+void demand::record(std::string_view member, double cost, clock::time_point now) {
     auto found = by_member_.find(member);
     if (found == by_member_.end()) {
         if (by_member_.size() >= max_members) {
@@ -21,7 +21,7 @@
         }
         found = by_member_.try_emplace(std::string{member}).first;
     }
-    found->second = {.sum = found->second.at(now) + cost, .updated = now};
+    found->second = {.sum = found->second.at(now) + cost, .updated_at = now};
 }
 
 double demand::rate(std::string_view member, clock::time_point now) const {
--- a/libraries/load/demand.h
+++ b/libraries/load/demand.h
@@ -1,10 +1,11 @@
-// How much service time each member asks of a target, as a moving average.
+// The demand of each member on a target, in service time, as a moving average.
 //
-// Load: a member has much waiting, and others come steadily but have nothing waiting right now.
-// Without it a request at the end of the long backlog is predicted to end as if the others had
-// gone; they come, are served ahead, and it is refused only when it has waited in vain.
-// A half-life of 350 ms (500 ms to 1/e) is longer than a full queue's wait and shorter than the
-// deadlines that callers set.
+// Handles a member with a long backlog next to members that send steadily but have nothing queued
+// right now. Without this a request at the end of the backlog is predicted to end as if the other
+// members had stopped; their requests arrive, are served ahead of it, and it is refused only after
+// a long wait.
+// A half-life of 350 ms (500 ms to 1/e) is longer than the wait in a full queue and shorter than
+// the deadlines that callers set.
 #pragma once
 
 #include <map>
@@ -17,12 +18,12 @@
 
 class demand {
 public:
-    void note(std::string_view member, double cost, clock::time_point now);
-    // Milliseconds of service asked for per millisecond.
+    void record(std::string_view member, double cost, clock::time_point now);
+    // Demand in milliseconds of service time per millisecond.
     double rate(std::string_view member, clock::time_point now) const;
-    // Calls `visit(member, rate)` for each member seen lately.
+    // Calls `visit(member, rate)` for each member with demand so far.
     template <typename visitor>
-    void each_rate(clock::time_point now, visitor visit) const {
+    void for_each_rate(clock::time_point now, visitor visit) const {
         for (const auto& [member, each] : by_member_) {
             visit(std::string_view{member}, each.at(now) / time_constant);
         }
@@ -31,14 +32,14 @@
 private:
     static constexpr double time_constant = 500;  // milliseconds
 
-    struct average {
-        double sum = 0;  // of costs, each fading with its age
-        clock::time_point updated;
+    struct decaying_sum {
+        double sum = 0;  // of costs, each decayed by its age
+        clock::time_point updated_at;
 
         double at(clock::time_point now) const;
     };
 
-    std::map<std::string, average, std::less<>> by_member_;  // at most max_members
+    std::map<std::string, decaying_sum, std::less<>> by_member_;  // at most max_members
 };
 
 }  // namespace bramleytrack::load
--- a/libraries/load/fair_queue.cpp
+++ b/libraries/load/fair_queue.cpp
@@ -4,26 +4,26 @@
 
 namespace bramleytrack::load {
 
-void fair_queue::push(const work& wanted, double cost, clock::time_point now) {
-    auto found = members_.find(wanted.member);
+void fair_queue::push(const work& request, double cost, clock::time_point now) {
+    auto found = members_.find(request.member);
     if (found == members_.end()) {
-        found = members_.try_emplace(std::string{wanted.member}).first;
+        found = members_.try_emplace(std::string{request.member}).first;
     }
     auto& member = found->second;
-    auto& queue = member.classes[wanted.kind];
-    // Whoever was idle starts at the present: time that was not used is not saved up.
+    auto& queue = member.classes[request.kind];
+    // An idle member or class starts at the current virtual time: unused time earns no credit.
     if (member.count == 0) {
         member.next_start = std::max(member.next_start, virtual_time_);
     }
     if (queue.requests.empty()) {
         queue.next_start = std::max(queue.next_start, member.virtual_time);
     }
-    queue.requests.push_back({.id = wanted.id,
+    queue.requests.push_back({.id = request.id,
                               .member = found->first,
-                              .kind = wanted.kind,
+                              .kind = request.kind,
                               .cost = cost,
-                              .deadline = wanted.deadline,
-                              .since = now});
+                              .deadline = request.deadline,
+                              .queued_at = now});
     queue.cost += cost;
     member.cost += cost;
     ++member.count;
@@ -65,8 +65,8 @@
     clock::time_point oldest = clock::time_point::max();
     for (auto each = members_.begin(); each != members_.end(); ++each) {
         for (const auto& [other_kind, each_class] : each->second.classes) {
-            if (!each_class.requests.empty() && each_class.requests.front().since < oldest) {
-                oldest = each_class.requests.front().since;
+            if (!each_class.requests.empty() && each_class.requests.front().queued_at < oldest) {
+                oldest = each_class.requests.front().queued_at;
                 chosen = each;
                 kind = other_kind;
             }
@@ -85,12 +85,12 @@
     member->second.cost -= removed.cost;
     --member->second.count;
     --size_;
-    settle_when_empty();
+    reset_if_empty();
     return removed;
 }
 
-// At the end of a busy period all members are even again, and what was kept of them can go.
-void fair_queue::settle_when_empty() {
+// At the end of a busy period the shares of all members are settled, so their state is dropped.
+void fair_queue::reset_if_empty() {
     if (size_ == 0) {
         members_.clear();
         virtual_time_ = 0;
@@ -102,11 +102,11 @@
 }
 
 std::optional<waiting_request> fair_queue::evict_for(std::string_view member) {
-    const auto own = members_.find(member);
-    const std::size_t wanted = 1 + (own == members_.end() ? 0 : own->second.count);
+    const auto found = members_.find(member);
+    const std::size_t count_with_new = 1 + (found == members_.end() ? 0 : found->second.count);
     const auto longest = std::ranges::max_element(
         members_, {}, [](const auto& entry) { return entry.second.count; });
-    if (longest == members_.end() || longest->second.count <= wanted) {
+    if (longest == members_.end() || longest->second.count <= count_with_new) {
         return std::nullopt;
     }
     const auto& classes = longest->second.classes;
@@ -115,31 +115,32 @@
     return remove(longest, queue->first, queue->second.requests.size() - 1);
 }
 
-double fair_queue::own_work_until_end(std::string_view member, work_class kind, double cost) const {
+double fair_queue::member_work_until_completion(std::string_view member, work_class kind,
+                                                double cost) const {
     const auto found = members_.find(member);
     if (found == members_.end()) {
         return cost;
     }
     const auto& classes = found->second.classes;
-    const auto same = classes.find(kind);
-    const double in_class = cost + (same == classes.end() ? 0 : same->second.cost);
-    double own = in_class;
+    const auto same_class = classes.find(kind);
+    const double in_class = cost + (same_class == classes.end() ? 0 : same_class->second.cost);
+    double work_until_completion = in_class;
     for (const auto& [other, each_class] : classes) {
-        own += other == kind ? 0 : std::min(each_class.cost, in_class);
+        work_until_completion += other == kind ? 0 : std::min(each_class.cost, in_class);
     }
-    return own;
+    return work_until_completion;
 }
 
-double fair_queue::work_ahead_of(std::string_view member, double own, std::string_view other,
-                                 double more) const {
+double fair_queue::other_member_work_ahead(std::string_view member, double own_work,
+                                           std::string_view other, double additional_work) const {
     const auto start_of = [this](members::const_iterator found) {
         return found == members_.end() ? virtual_time_
                                        : std::max(virtual_time_, found->second.next_start);
     };
-    const auto from = members_.find(other);
-    const double waiting = from == members_.end() ? 0 : from->second.cost;
-    const double lead = start_of(members_.find(member)) - start_of(from);
-    return std::clamp(own + lead, 0.0, waiting + more);
+    const auto other_member = members_.find(other);
+    const double waiting = other_member == members_.end() ? 0 : other_member->second.cost;
+    const double lead = start_of(members_.find(member)) - start_of(other_member);
+    return std::clamp(own_work + lead, 0.0, waiting + additional_work);
 }
 
 std::vector<waiting_request> fair_queue::take_if(
@@ -160,7 +161,7 @@
             each_class.requests.erase(first, each_class.requests.end());
         }
     }
-    settle_when_empty();
+    reset_if_empty();
     return taken;
 }
 
--- a/libraries/load/fair_queue.h
+++ b/libraries/load/fair_queue.h
@@ -1,13 +1,13 @@
-// The requests that wait for a slot of one target, shared fairly between members.
+// The queue of requests that wait for a slot of one target, shared fairly between members.
 //
-// Load: one member floods the target with many times its share, or sends long work among short.
-// Without it a first-come queue serves members in proportion to what they send, and a short request
+// Handles a member that floods the target with many times its share, and long requests among short
+// ones. A first-come queue serves members in proportion to what they send, and a short request
 // waits for every long one ahead of it.
-// Start-time fair queueing (Goyal, Vin and Cheng 1996) on two levels: members share the slots'
-// time, and within a member its classes of work do. Each pays with expected service time, and the
-// difference to the time really taken is charged afterwards, so that a wrong estimate favours
-// nobody for long. Chosen over deficit round robin since it needs no quantum, which would have to
-// fit service times that differ a hundredfold.
+// Start-time fair queueing (Goyal, Vin and Cheng 1996) on two levels: the slots' time is divided
+// between members, and a member's time between its classes of work. Each request is charged its
+// expected service time at dispatch and the difference to the actual time afterwards, so that a
+// wrong estimate favours no member for long. Deficit round robin would need a quantum that fits
+// service times which differ a hundredfold.
 #pragma once
 
 #include <cstddef>
@@ -29,31 +29,33 @@
     work_class kind = 0;
     double cost = 0;  // expected service time, milliseconds
     clock::time_point deadline;
-    clock::time_point since;
+    clock::time_point queued_at;
 };
 
 class fair_queue {
 public:
-    void push(const work& wanted, double cost, clock::time_point now);
-    // The next request in the fair order; nothing when none waits.
+    void push(const work& request, double cost, clock::time_point now);
+    // Removes the next request in fair order; nothing if the queue is empty.
     std::optional<waiting_request> take();
-    // The request that has waited longest: the order of a plain first-come queue.
+    // Removes the request that has waited longest: the order of a first-come queue.
     std::optional<waiting_request> take_oldest();
     bool erase(const records::request_id& id);
 
-    // Removes the newest request of the member with the most waiting, if that member has more
-    // waiting than `member` would have. So a flood can't keep others out of a full queue.
+    // Removes the newest request of the member with the most queued, if it has more queued than
+    // `member` would have with one more, so that a flood can't keep other members out of a full
+    // queue.
     std::optional<waiting_request> evict_for(std::string_view member);
 
-    // What a request pushed now would have to wait for within its own member, it included:
-    // milliseconds of service. Other classes are served ahead of it only up to an equal share.
-    double own_work_until_end(std::string_view member, work_class kind, double cost) const;
-    // And the service of `other` that comes ahead if the member is to get `own`, and `other` asks
-    // for `more` on top of what it has waiting.
-    double work_ahead_of(std::string_view member, double own, std::string_view other,
-                         double more) const;
+    // Service time, in milliseconds, that the member receives until a request pushed now would end,
+    // that request included. Its other classes are served ahead of it only up to an equal share.
+    double member_work_until_completion(std::string_view member, work_class kind,
+                                        double cost) const;
+    // Service time of the member `other` that is served before `member` has received `own_work`,
+    // if `other` adds `additional_work` to what it has queued.
+    double other_member_work_ahead(std::string_view member, double own_work, std::string_view other,
+                                   double additional_work) const;
 
-    // Removes what `is_infeasible` says can't end in time.
+    // Removes and returns the requests for which `is_infeasible` returns true.
     std::vector<waiting_request> take_if(
         const std::function<bool(const waiting_request&)>& is_infeasible);
 
@@ -61,13 +63,13 @@
         return take_if([](const waiting_request&) { return true; });
     }
 
-    // The member's request took so much longer (shorter, if negative) than it had paid for.
+    // Charges a member the time by which a request exceeded its expected cost; negative if shorter.
     void charge(std::string_view member, double difference);
 
     std::size_t size() const { return size_; }
     bool empty() const { return size_ == 0; }
     std::size_t waiting_members() const;
-    double cost() const;  // sum over all that wait
+    double cost() const;  // sum over all queued requests
 
 private:
     struct class_queue {
@@ -86,7 +88,7 @@
 
     std::optional<waiting_request> remove(members::iterator member, work_class kind,
                                           std::size_t index);
-    void settle_when_empty();
+    void reset_if_empty();
 
     members members_;
     std::size_t size_ = 0;  // sum over the members
--- a/libraries/load/retry_after_plan.h
+++ b/libraries/load/retry_after_plan.h
@@ -1,12 +1,12 @@
-// Says when a refused caller is to come back.
+// Chooses the Retry-After time of a refused request.
 //
-// Load: thousands of callers are refused in one second. Without it all come back together, most are
-// refused again, and the load rises with each round.
-// Each refusal of a member is promised the next free part of that member's share of the target's
-// time, so promises are as far apart as the target can take them. A hash of the request adds up to
-// a quarter, as instances and targets promise independently of each other. No promise exceeds
-// max_retry_after: further ahead the figure would say nothing true, and callers are spread evenly
-// over its second half instead.
+// Handles thousands of refusals within one second. Without it all callers retry at the same time,
+// most are refused again, and the load rises with each round.
+// Each refused request of a member gets the next free interval of that member's share of the
+// target's time, so retries arrive no faster than the target can serve them. A hash of the request
+// adds up to a quarter, because instances and targets choose independently of each other. No time
+// exceeds max_retry_after: a prediction further ahead would be meaningless, so the remaining
+// callers are spread evenly over the second half of it instead.
 #pragma once
 
 #include <map>
@@ -21,14 +21,14 @@
 
 class retry_after_plan {
 public:
-    // `earliest`: when the work that waits now is done. `share`: how long the member's share of the
-    // target takes for this request.
-    clock::duration promise(const work& refused, clock::duration earliest, clock::duration share,
-                            clock::time_point now);
+    // `earliest`: time until the work queued now is done. `interval`: time that the member's share
+    // of the target needs for this request.
+    clock::duration assign(const work& refused, clock::duration earliest, clock::duration interval,
+                           clock::time_point now);
 
 private:
-    // When the next promise of a member may fall due; at most max_members.
-    std::map<std::string, clock::time_point, std::less<>> next_;
+    // Earliest time of the next retry, by member; at most max_members.
+    std::map<std::string, clock::time_point, std::less<>> next_due_;
 };
 
 }  // namespace bramleytrack::load
--- a/libraries/load/target_load.h
+++ b/libraries/load/target_load.h
@@ -1,4 +1,4 @@
-// What one owned target bears, as its owner counts it.
+// The load of one owned target, as its owner counts it.
 #pragma once
 
 #include <map>
@@ -21,24 +21,24 @@
     std::string member;
     work_class kind = 0;
     double cost = 0;  // expected service time, milliseconds
-    clock::time_point since;
+    clock::time_point dispatched_at;
 };
 
 struct target_load {
-    int connections = 0;              // flows placed on the target, opening ones included
-    int slots_in_use = 0;             // requests dispatched and not ended
-    int assumed_slots = 0;            // slots that an earlier owner may have in use; see takeover
-    int inherited_answers = 0;        // answers to an earlier owner's requests since then
+    int connections = 0;    // flows on the target, those being opened included
+    int slots_in_use = 0;   // requests dispatched and not yet ended
+    int assumed_slots = 0;  // slots that an earlier owner's requests may occupy after a takeover
+    int inherited_answers = 0;        // answers to an earlier owner's requests since the takeover
     clock::time_point assumed_until;  // until then an earlier owner's requests may run
     inherited_connections inherited;  // not among `connections`
     cold_start cold;
     fair_queue queue;
     service_times times;
-    demand asked;
+    demand member_demand;
     retry_after_plan retry_after;
     // Dispatched by this owner; those taken over are counted in slots_in_use only.
     std::map<records::request_id, running_request> running;
-    const strategies* how = &default_strategies();
+    const strategies* strategy = &default_strategies();
 };
 
 using target_loads = std::map<std::string, target_load, std::less<>>;          // of owned targets
--- a/libraries/load/work.h
+++ b/libraries/load/work.h
@@ -1,7 +1,7 @@
-// One request as the decisions see it, and the class that its service time is estimated by.
+// A request as the load decisions use it, and the class by which its service time is estimated.
 //
-// A layer-4 balancer knows little of a request before it has run: its member, whether it may be
-// repeated (lodgements may not, reads may), and its length. These three are the class.
+// Before a request has run, a layer-4 balancer has only its member, whether it may be repeated
+// (lodgements may not, reads may) and its length. These three are the class.
 #pragma once
 
 #include <algorithm>
@@ -17,7 +17,7 @@
 
 using work_class = std::uint8_t;
 
-// Payload lengths are told apart by powers of four from 64 bytes on.
+// Payload lengths are classed by powers of four from 64 bytes on.
 constexpr int size_classes = 4;
 constexpr std::size_t work_classes = 2 * size_classes;
 
--- a/libraries/requests/target_owner.cpp
+++ b/libraries/requests/target_owner.cpp
@@ -282,7 +282,7 @@
     shared_.requests.dispatch(subject, static_cast<std::int64_t>(++last_dispatch_));
     count_slots(target.name);
     auto& load = shared_.loads[target.name];
-    load::note_dispatched(load, work_of(subject, load), now);
+    load::record_dispatch(load, work_of(subject, load), now);
     auto content = subject.content;
     content.dispatch = subject.dispatch;
     shared_.out.send_target(target, std::move(content));
@@ -325,9 +325,9 @@
     shared_.requests.end(subject, std::move(outcome), now);
 }
 
-void target_owner::free_slot(request& subject, load::ending how, clock::time_point now) {
+void target_owner::free_slot(request& subject, load::run_outcome how, clock::time_point now) {
     shared_.requests.free_slot(subject);
-    load::note_ended(shared_.loads[subject.target], subject.id, how, now);
+    load::record_end(shared_.loads[subject.target], subject.id, how, now);
     count_slots(subject.target);
 }
 
--- a/libraries/requests/target_owner.h
+++ b/libraries/requests/target_owner.h
@@ -103,7 +103,7 @@
     bool is_later_than_inherited_work(const configuration::target& target,
                                       const wire::packet& report, clock::time_point now) const;
     void ask_for_report(const configuration::target& target, clock::time_point now);
-    void free_slot(request& subject, load::ending how, clock::time_point now);
+    void free_slot(request& subject, load::run_outcome how, clock::time_point now);
     void count_slots(std::string_view target);
     void log_cold_start(const configuration::target& target, std::string_view seen_by);
 
--- a/libraries/requests/target_owner_replies.cpp
+++ b/libraries/requests/target_owner_replies.cpp
@@ -72,7 +72,7 @@
         return;
     }
     if (is_of_last_dispatch && known->holds_slot) {
-        free_slot(*known, load::ending::answered, now);
+        free_slot(*known, load::run_outcome::answered, now);
     }
     // A late answer is the truth that `unknown` left open. Nothing follows any other outcome.
     const bool is_open_still =
@@ -128,7 +128,7 @@
     if (!is_of_last_dispatch) {
         return;
     }
-    free_slot(*known, load::ending::not_run, now);
+    free_slot(*known, load::run_outcome::not_run, now);
     auto& load = shared_.loads[target.name];
     // Requests of an earlier owner may fill the slots: then a shed says nothing about the target.
     if (load.assumed_slots == 0 && load.cold.on_shed(now)) {
--- a/libraries/requests/target_owner_upkeep.cpp
+++ b/libraries/requests/target_owner_upkeep.cpp
@@ -88,7 +88,7 @@
     }
     const bool was_running = subject.holds_slot;
     if (was_running) {
-        free_slot(subject, load::ending::overdue, now);
+        free_slot(subject, load::run_outcome::timed_out, now);
     }
     if (subject.state == request_state::dispatched) {
         end_request(subject,
--- a/libraries/requests/work_of_request.cpp
+++ b/libraries/requests/work_of_request.cpp
@@ -16,7 +16,7 @@
     const auto& content = subject.content;
     return {.id = subject.id,
             .member = content.member,
-            .kind = load.how->class_of(may_run_twice(content), content.payload.size()),
+            .kind = load.strategy->class_of(may_run_twice(content), content.payload.size()),
             .deadline = subject.deadline};
 }
 
--- a/services/bramleybench/request_experiment.cpp
+++ b/services/bramleybench/request_experiment.cpp
@@ -55,7 +55,7 @@
         for (int i = 0; i < pattern.targets; ++i) {
             auto& added = targets_.emplace_back();
             added.limits.slots = pattern.slots;
-            added.load.how = &how;
+            added.load.strategy = &how;
         }
         result_.capacity = static_cast<double>(pattern.targets * pattern.slots) *
                            static_cast<double>(pattern.length.count());
@@ -150,10 +150,11 @@
 
     load::work work_of(const model_request& subject) const {
         const auto& load = targets_[subject.target].load;
-        return {.id = subject.id,
-                .member = pattern_.members[subject.member].name,
-                .kind = load.how->class_of(true, subject.is_long ? long_payload : short_payload),
-                .deadline = subject.deadline};
+        return {
+            .id = subject.id,
+            .member = pattern_.members[subject.member].name,
+            .kind = load.strategy->class_of(true, subject.is_long ? long_payload : short_payload),
+            .deadline = subject.deadline};
     }
 
     void offer(std::size_t index) {
@@ -189,7 +190,7 @@
         const auto& subject = requests_[index];
         auto& target = targets_[subject.target];
         ++target.load.slots_in_use;
-        load::note_dispatched(target.load, work_of(subject), now_);
+        load::record_dispatch(target.load, work_of(subject), now_);
         auto& counted = result_of(subject);
         const auto wait = static_cast<int>((now_ - subject.sent).count());
         counted.waits.push_back(wait);
@@ -214,8 +215,9 @@
         --target.running;
         --target.load.slots_in_use;
         const bool is_in_time = now_ <= subject.deadline;
-        load::note_ended(target.load, subject.id,
-                         is_in_time ? load::ending::answered : load::ending::overdue, now_);
+        load::record_end(target.load, subject.id,
+                         is_in_time ? load::run_outcome::answered : load::run_outcome::timed_out,
+                         now_);
         auto& counted = result_of(subject);
         if (is_in_time) {
             ++counted.answered;
--- a/tests/load_queue_test.cpp
+++ b/tests/load_queue_test.cpp
@@ -1,5 +1,5 @@
-// What callers get from a target's queue: shares, waits, refusals and come-back times under bursts,
-// floods, few callers, long work among short, a slow target and saturation.
+// The queue of a target as callers see it: shares, waits, refusals and Retry-After times under
+// bursts, floods, few callers, long requests among short ones, a slow target and saturation.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,8 +16,8 @@
 
 constexpr clock::time_point start = to_time_point(1'000'000);
 
-std::map<std::string, double> play(std::string_view name,
-                                   const std::vector<std::string>& without = {}) {
+std::map<std::string, double> run_scenario(std::string_view name,
+                                           const std::vector<std::string>& without = {}) {
     constexpr int seeds = 2;
     const auto table = experiments::strategies_without(without);
     std::vector<experiments::request_result> results;
@@ -32,39 +32,39 @@
     return figures;
 }
 
-// One member sends ten times its share. Callers of the others find their requests refused although
-// they send less than is theirs: a first-come queue is full of the first member's requests.
-TEST(load_queue, a_flood_by_one_member_leaves_the_others_their_share) {
-    auto fair = play("flood");
-    auto plain = play("flood", {"fair_queue"});
-    EXPECT_LT(plain["worst_share"], 0.9);
+// One member sends ten times its share. A first-come queue then fills up with its requests, and
+// those of other members are refused although these send less than their shares.
+TEST(load_queue, flood_by_one_member_leaves_others_their_share) {
+    auto fair = run_scenario("flood");
+    auto first_come = run_scenario("flood", {"fair_queue"});
+    EXPECT_LT(first_come["worst_share"], 0.9);
     EXPECT_GE(fair["worst_share"], 0.95);
     for (const auto* member : {"b", "c", "d"}) {
         EXPECT_GE(fair[std::string{"answered_"} + member], 0.95) << member;
     }
 }
 
-TEST(load_queue, members_that_all_send_too_much_get_equal_shares) {
-    EXPECT_LT(play("flood_all_busy", {"fair_queue"})["worst_share"], 0.95);
-    EXPECT_GE(play("flood_all_busy")["worst_share"], 0.95);
+TEST(load_queue, members_above_their_shares_get_equal_shares) {
+    EXPECT_LT(run_scenario("flood_all_busy", {"fair_queue"})["worst_share"], 0.95);
+    EXPECT_GE(run_scenario("flood_all_busy")["worst_share"], 0.95);
 }
 
-// Two callers keep two targets full. Callers of other members on the same targets must not notice
-// more than that the targets are busy.
+// Two callers keep two targets full. Other members on the same targets must still get nearly all of
+// their requests answered.
 TEST(load_queue, few_callers_that_take_most_of_the_load_dont_displace_others) {
-    auto fair = play("few_callers");
+    auto fair = run_scenario("few_callers");
     for (const auto* member : {"b", "c", "d"}) {
         EXPECT_GE(fair[std::string{"answered_"} + member], 0.99) << member;
     }
 }
 
-// Callers send twice and five times what the targets can do. Without a check against the deadline
-// slots run work that ends too late, and callers learn of it only then.
-TEST(load_queue, at_saturation_slots_do_only_work_that_ends_in_time) {
-    EXPECT_LT(play("tight_2x", {"deadline_check"})["useful"], 0.5);
-    EXPECT_GE(play("tight_2x")["useful"], 0.8);
+// Callers send two and five times what the targets can serve. Without the deadline check slots run
+// requests that end too late, and callers learn of it only at their deadlines.
+TEST(load_queue, slots_run_only_requests_that_end_in_time_at_saturation) {
+    EXPECT_LT(run_scenario("tight_2x", {"deadline_check"})["useful"], 0.5);
+    EXPECT_GE(run_scenario("tight_2x")["useful"], 0.8);
     for (const auto* name : {"saturation_2x", "saturation_5x"}) {
-        auto figures = play(name);
+        auto figures = run_scenario(name);
         EXPECT_GE(figures["useful"], 0.95) << name;
         EXPECT_LT(figures["refusal_p99"], 50) << name;
         EXPECT_LT(figures["unknown"], 0.001) << name;
@@ -72,24 +72,25 @@
     }
 }
 
-TEST(load_queue, short_work_waits_less_than_behind_all_long_work) {
-    EXPECT_LT(play("long_among_short_2x")["short_wait_p99"],
-              0.85 * play("long_among_short_2x", {"work_classes"})["short_wait_p99"]);
+TEST(load_queue, short_requests_wait_less_with_work_classes) {
+    EXPECT_LT(run_scenario("long_among_short_2x")["short_wait_p99"],
+              0.85 * run_scenario("long_among_short_2x", {"work_classes"})["short_wait_p99"]);
 }
 
-// Thousands are refused within a second. Told the same time, they all come back together, again and
-// again; told the time at which there is room for them, nearly all are answered at their return.
-TEST(load_queue, refused_callers_come_back_when_there_is_room) {
-    auto spread = play("burst");
-    auto together = play("burst", {"come_back"});
-    EXPECT_GT(together["rounds_mean"], 3);
-    EXPECT_LT(spread["rounds_mean"], 1.2);
-    EXPECT_LT(spread["back_at_once"], together["back_at_once"] / 5);
-    EXPECT_GT(spread["answered"], 0.999);
+// Thousands of requests are refused within a second. With a fixed Retry-After time all callers
+// retry together, round after round; with times at which the target has capacity for them, nearly
+// all are answered at the first retry.
+TEST(load_queue, refused_callers_retry_when_there_is_capacity) {
+    auto scheduled = run_scenario("burst");
+    auto fixed = run_scenario("burst", {"come_back"});
+    EXPECT_GT(fixed["rounds_mean"], 3);
+    EXPECT_LT(scheduled["rounds_mean"], 1.2);
+    EXPECT_LT(scheduled["back_at_once"], fixed["back_at_once"] / 5);
+    EXPECT_GT(scheduled["answered"], 0.999);
 }
 
-TEST(load_queue, a_slow_target_refuses_what_it_cant_end) {
-    auto figures = play("slow_target");
+TEST(load_queue, requests_that_a_slow_target_cannot_end_in_time_are_refused) {
+    auto figures = run_scenario("slow_target");
     EXPECT_LT(figures["unknown"], 0.001);
     EXPECT_GT(figures["unknown"] + figures["refused"], 0) << "the target wasn't slow";
 }
@@ -105,18 +106,18 @@
                 .deadline = now_ + deadline};
     }
 
-    load::admission offer(const load::work& wanted) {
-        auto decision = load::admit_request(target_, load_, wanted, now_);
+    load::admission submit(const load::work& work) {
+        auto decision = load::admit_request(target_, load_, work, now_);
         if (std::holds_alternative<load::run_now>(decision)) {
             ++load_.slots_in_use;
-            load::note_dispatched(load_, wanted, now_);
+            load::record_dispatch(load_, work, now_);
         }
         return decision;
     }
 
-    void learn(clock::duration service) {
+    void record_service_times(clock::duration service_time) {
         for (int i = 0; i < 20; ++i) {
-            load_.times.note("m", 0, service, now_);
+            load_.times.record("m", 0, service_time, now_);
         }
     }
 
@@ -125,28 +126,29 @@
     clock::time_point now_ = start;
 };
 
-// A target became slow, every request is refused for its deadline, none runs, and so the estimate
-// never falls although the target has long recovered.
-TEST_F(one_target, is_tried_again_after_its_estimate_has_grown_too_high) {
-    learn(clock::duration{5'000});
+// Guards against an estimate that never falls: after a slow phase every request is refused for its
+// deadline, so none runs and nothing is measured, although the target has long recovered.
+TEST_F(one_target, is_probed_while_its_estimate_exceeds_all_deadlines) {
+    record_service_times(clock::duration{5'000});
     now_ += clock::duration{500};
-    const auto refused = offer(request(1, "m", clock::duration{1'000}));
+    const auto refused = submit(request(1, "m", clock::duration{1'000}));
     ASSERT_TRUE(std::holds_alternative<load::refusal>(refused));
     EXPECT_EQ(std::get<load::refusal>(refused).code, result_code::deadline_too_near);
     now_ += clock::duration{1'000};
     EXPECT_TRUE(
-        std::holds_alternative<load::run_now>(offer(request(2, "m", clock::duration{1'000}))));
+        std::holds_alternative<load::run_now>(submit(request(2, "m", clock::duration{1'000}))));
     now_ += clock::duration{20};
     --load_.slots_in_use;
-    load::note_ended(load_, {.flow = 2, .number = 2}, load::ending::answered, now_);
+    load::record_end(load_, {.flow = 2, .number = 2}, load::run_outcome::answered, now_);
 }
 
-// Waiting requests whose deadline passes used to stay in the queue and be dispatched in vain.
-TEST_F(one_target, refuses_a_waiting_request_as_soon_as_it_cant_end) {
-    learn(clock::duration{100});
-    offer(request(1, "m", clock::duration{2'000}));
+// Guards against queued requests that stay in the queue past their deadline and are dispatched too
+// late.
+TEST_F(one_target, refuses_a_queued_request_once_it_cannot_meet_its_deadline) {
+    record_service_times(clock::duration{100});
+    submit(request(1, "m", clock::duration{2'000}));
     ASSERT_TRUE(
-        std::holds_alternative<load::wait_for_slot>(offer(request(2, "m", clock::duration{300}))));
+        std::holds_alternative<load::wait_for_slot>(submit(request(2, "m", clock::duration{300}))));
     now_ += clock::duration{100};
     EXPECT_TRUE(load::take_infeasible(target_, load_, now_).empty());
     now_ += clock::duration{150};
@@ -156,12 +158,12 @@
     EXPECT_TRUE(load_.queue.empty());
 }
 
-TEST_F(one_target, tells_refused_callers_different_times) {
-    learn(clock::duration{100});
-    offer(request(1, "m", clock::duration{1'000}));
+TEST_F(one_target, assigns_distinct_retry_after_times) {
+    record_service_times(clock::duration{100});
+    submit(request(1, "m", clock::duration{1'000}));
     std::set<clock::duration> times;
     for (int i = 2; i < 50; ++i) {
-        const auto decision = offer(request(i, "m", clock::duration{50}));
+        const auto decision = submit(request(i, "m", clock::duration{50}));
         ASSERT_TRUE(std::holds_alternative<load::refusal>(decision));
         const auto retry_after = std::get<load::refusal>(decision).retry_after;
         EXPECT_GT(retry_after.count(), 0);
@@ -171,9 +173,9 @@
     EXPECT_GT(times.size(), 40);
 }
 
-// Through the whole core: the target has been seen to take 300 ms, both its slots are busy, and a
-// caller with 200 ms left is told at once, not at its deadline.
-TEST(load_queue, the_core_refuses_at_once_what_cant_end) {
+// Through a whole instance: the measured service time is 300 ms, the only slot is busy, and a
+// request with a deadline of 200 ms is refused at once, not at its deadline.
+TEST(load_queue, instance_refuses_at_once_what_cannot_meet_its_deadline) {
     testing::session session;
     for (const auto* line :
          {"zone north", "service board 10.0.0.1:443", "target board-1 north board slots=1",
