--- a/libraries/hand_over/hand_overs.cpp
+++ b/libraries/hand_over/hand_overs.cpp
@@ -43,18 +43,18 @@
 // peer learns of flows and requests that it has never seen.
 void membership_protocol::start_yield(std::string_view target, clock::time_point now) {
     const auto valid = shared_.peers.claim_of(target, now);
-    if (valid.by == nullptr) {
+    if (valid.claimant == nullptr) {
         return;
     }
     wire::hand_over head;
     head.is_merge = true;
     head.epoch = valid.epoch;
     auto parts = cut_out(target, head, now);
-    shared_.ownership.yield(target, valid);
+    shared_.ownership.relinquish(target, valid);
     shared_.out.log(
-        log_event{"target_yielded"}.with("target", target).with("receiver", valid.by->name));
+        log_event{"target_yielded"}.with("target", target).with("receiver", valid.claimant->name));
     const auto [added, is_new] = outgoing_.insert_or_assign(
-        std::string{target}, outgoing_transfer{valid.by->name, std::move(parts), now});
+        std::string{target}, outgoing_transfer{valid.claimant->name, std::move(parts), now});
     send_due(added->second, now);
 }
 
@@ -125,11 +125,11 @@
     }
     const auto* move = shared_.ownership.find_move(target);
     const auto valid = shared_.peers.claim_of(target, now);
-    if (valid.by != nullptr && valid.epoch >= transfer.epoch()) {
+    if (valid.claimant != nullptr && valid.epoch >= transfer.epoch()) {
         // The receiver has it all and its acknowledgements were lost, or another instance has taken
         // the target over in the meantime and lacks the records.
         const bool has_arrived =
-            valid.by->name == transfer.receiver() && valid.epoch == transfer.epoch();
+            valid.claimant->name == transfer.receiver() && valid.epoch == transfer.epoch();
         finish(target, now);
         if (!has_arrived) {
             auto parts = transfer.take_parts();
@@ -137,7 +137,7 @@
                 part.is_merge = true;
                 part.epoch = valid.epoch;
             }
-            transfer = outgoing_transfer{valid.by->name, std::move(parts), now};
+            transfer = outgoing_transfer{valid.claimant->name, std::move(parts), now};
         }
         return has_arrived;
     }
@@ -161,12 +161,12 @@
                                     clock::time_point now) {
     const auto* found = shared_.configuration.find_target(target);
     if (found == nullptr) {
-        shared_.ownership.forget_move(target);
+        shared_.ownership.erase_move(target);
         held_.release(target);
         return;
     }
     // The receiver may have had all parts and dispatched work before it died.
-    shared_.ownership.receive(target, {.how = origin::taken_over,
+    shared_.ownership.acquire(target, {.acquired_by = origin::taken_over,
                                        .since = now,
                                        .epoch = shared_.ownership.next_epoch(target),
                                        .fence_until = now + records::max_request_lifetime});
@@ -185,7 +185,7 @@
     std::vector<std::string> over;
     for (const auto& [name, move] : shared_.ownership.moved()) {
         const auto valid = shared_.peers.claim_of(name, now);
-        const bool is_claimed = valid.by != nullptr && valid.epoch >= move.epoch;
+        const bool is_claimed = valid.claimant != nullptr && valid.epoch >= move.epoch;
         const bool is_old = now - move.since >= move_memory;
         const auto* receiver = shared_.peers.find(move.receiver);
         const bool is_gone = !shared_.peers.is_alive(move.receiver, now) ||
@@ -197,7 +197,7 @@
         }
     }
     for (const auto& name : over) {
-        shared_.ownership.forget_move(name);
+        shared_.ownership.erase_move(name);
     }
 }
 
@@ -261,9 +261,10 @@
                                    clock::time_point now) {
     const auto& head = whole.parts.begin()->second;
     const auto fence = now + clock::duration{head.fence_ms};
-    shared_.ownership.receive(
-        target.name,
-        {.how = origin::handed_over, .since = now, .epoch = whole.epoch, .fence_until = fence});
+    shared_.ownership.acquire(target.name, {.acquired_by = origin::handed_over,
+                                            .since = now,
+                                            .epoch = whole.epoch,
+                                            .fence_until = fence});
     shared_.flows.erase_on(target.name);  // what this instance knew as a home only
     std::int64_t flows = 0;
     for (const auto& [number, part] : whole.parts) {
--- a/libraries/hand_over/membership_protocol.cpp
+++ b/libraries/hand_over/membership_protocol.cpp
@@ -32,7 +32,7 @@
     const auto gap = now - last_event_;
     last_event_ = std::max(last_event_, now);
     if (gap >= stall_limit) {
-        shared_.ownership.hold_takeovers(now, stall_recovery);
+        shared_.ownership.delay_takeovers(now, stall_recovery);
     }
     if (gap <= membership::pause_limit) {
         return;
@@ -50,7 +50,7 @@
 
 void membership_protocol::on_tick(clock::time_point now) {
     update_eligibility(now);
-    shared_.peers.forget_old(now);
+    shared_.peers.remove_expired(now);
     tend_transfers(now);
     tend_moves(now);
     review(now);
@@ -93,13 +93,13 @@
 }
 
 void membership_protocol::review(clock::time_point now) {
-    const auto change = shared_.ownership.review(shared_.configuration, shared_.peers, now);
-    for (const auto& name : change.to_withdraw) {
+    const auto change = shared_.ownership.reconcile(shared_.configuration, shared_.peers, now);
+    for (const auto& name : change.unconfigured) {
         erase_records(name);
         shared_.ownership.release(name);
         shared_.out.log(log_event{"target_withdrawn"}.with("target", name));
     }
-    for (const auto& name : change.to_yield) {
+    for (const auto& name : change.superseded) {
         start_yield(name, now);
     }
     for (const auto& name : change.taken_over) {
@@ -115,13 +115,13 @@
         }
         on_gained_(target, origin::taken_over);
     }
-    for (const auto& name : change.wanted) {
+    for (const auto& name : change.to_request) {
         wire::ownership_wanted wanted;
         wanted.target = name;
         wanted.epoch = shared_.ownership.highest_epoch(name);
         wire::peer_message message;
         message.__set_wanted(wanted);
-        shared_.out.send_peer(shared_.peers.claim_of(name, now).by->name, std::move(message));
+        shared_.out.send_peer(shared_.peers.claim_of(name, now).claimant->name, std::move(message));
     }
     if (!change.taken_over.empty()) {
         send_heartbeats(now);
@@ -132,7 +132,7 @@
     for (const auto& load : message.beat.owned) {
         shared_.reported_loads[load.target] = load;
         shared_.placements.note_report(load.target);
-        shared_.ownership.note_epoch(load.target, load.epoch);
+        shared_.ownership.observe_epoch(load.target, load.epoch);
         const auto* owned = shared_.ownership.find(load.target);
         if (owned != nullptr &&
             membership::supersedes(load.epoch, message.sender, owned->epoch, shared_.self.name)) {
@@ -153,7 +153,7 @@
     if (routing::rendezvous_winner(eligible, wanted.target) == sender) {
         // Failure: this instance was restarted and counts epochs from the beginning; the receiver
         // remembers higher ones and takes the hand-over for an old one.
-        shared_.ownership.note_epoch(wanted.target, wanted.epoch);
+        shared_.ownership.observe_epoch(wanted.target, wanted.epoch);
         start_hand_over(wanted.target, *receiver, now);
     }
 }
--- a/libraries/instance/instance.cpp
+++ b/libraries/instance/instance.cpp
@@ -149,7 +149,7 @@
 
 void instance::on_peer_message(const wire::peer_message& message, clock::time_point now) {
     begin_event(now);
-    if (context_.peers.note_heartbeat_from(message, now)) {
+    if (context_.peers.accept_message(message, now)) {
         dispatch_message(message, now);
         route_released(now);
     }
--- a/libraries/membership/instance_list.cpp
+++ b/libraries/membership/instance_list.cpp
@@ -12,7 +12,7 @@
     if (!root.is_array()) {
         return result;
     }
-    const auto text = [](const json& item, const char* key) {
+    const auto string_or_empty = [](const json& item, const char* key) {
         return item.contains(key) && item[key].is_string() ? item[key].get<std::string>()
                                                            : std::string{};
     };
@@ -20,14 +20,14 @@
         if (!item.is_object()) {
             continue;
         }
-        platform_instance read{.name = text(item, "name"),
-                               .zone = text(item, "zone"),
-                               .peer_address = text(item, "peer_address"),
-                               .caller_address = text(item, "caller_address"),
-                               .admin_address = text(item, "admin_address"),
-                               .is_leaving = text(item, "state") == "leaving"};
-        if (!read.name.empty() && !read.zone.empty() && !read.peer_address.empty()) {
-            result.push_back(std::move(read));
+        platform_instance instance{.name = string_or_empty(item, "name"),
+                                   .zone = string_or_empty(item, "zone"),
+                                   .peer_address = string_or_empty(item, "peer_address"),
+                                   .caller_address = string_or_empty(item, "caller_address"),
+                                   .admin_address = string_or_empty(item, "admin_address"),
+                                   .is_leaving = string_or_empty(item, "state") == "leaving"};
+        if (!instance.name.empty() && !instance.zone.empty() && !instance.peer_address.empty()) {
+            result.push_back(std::move(instance));
         }
     }
     return result;
--- a/libraries/membership/instance_list.h
+++ b/libraries/membership/instance_list.h
@@ -1,4 +1,4 @@
-// The platform's lagging list of instances, as JSON.
+// Parses the platform's JSON list of instances, which may lag behind the actual state.
 #pragma once
 
 #include <string>
@@ -18,7 +18,8 @@
     bool is_leaving = false;
 };
 
-// Entries that are not whole are left out: the list is a hint, never the truth.
+// Skips entries without a name, zone or peer address: the list is only a hint where instances may
+// run, so an incomplete entry is not an error.
 std::vector<platform_instance> parse_instance_list(std::string_view body);
 
 std::vector<listed_instance> to_listed(const std::vector<platform_instance>& list);
--- a/libraries/membership/ownership.cpp
+++ b/libraries/membership/ownership.cpp
@@ -10,32 +10,33 @@
 ownership::ownership(std::string self, std::string zone, clock::time_point started)
     : self_{std::move(self)}, zone_{std::move(zone)}, listening_since_{started} {}
 
-ownership_change ownership::review(const configuration::configuration& configuration,
-                                   const peer_table& peers, clock::time_point now) {
+ownership_change ownership::reconcile(const configuration::configuration& configuration,
+                                      const peer_table& peers, clock::time_point now) {
     ownership_change change;
-    review_owned(configuration, peers, now, change);
+    reconcile_owned(configuration, peers, now, change);
     if (!peers.is_self_eligible()) {
         listening_since_ = now;
         return change;
     }
-    // Failure: a fresh or woken instance hasn't heard the claims of its peers yet and would own a
-    // target twice. It shows as two answers to one request. Every live peer's claim arrives within
-    // dead_after, so waiting that long rules it out.
+    // An instance that has just started or resumed has not yet received the claims of its peers. If
+    // it took over a target that a peer owns, a request could run on behalf of both owners and be
+    // answered twice. The claim of every live peer arrives within dead_after, so it waits that
+    // long.
     if (now - listening_since_ < dead_after) {
         return change;
     }
     const auto eligible = peers.eligible_owners(zone_, now);
     for (const auto& target : configuration.targets) {
-        const bool is_ours = owned_.contains(target.name) || moved_.contains(target.name);
-        if (target.zone != zone_ || is_ours ||
+        const bool is_owned_or_moved = owned_.contains(target.name) || moved_.contains(target.name);
+        if (target.zone != zone_ || is_owned_or_moved ||
             routing::rendezvous_winner(eligible, target.name) != self_) {
             continue;
         }
-        if (peers.claim_of(target.name, now).by != nullptr) {
-            change.wanted.push_back(target.name);
+        if (peers.claim_of(target.name, now).claimant != nullptr) {
+            change.to_request.push_back(target.name);
             continue;
         }
-        receive(target.name, {.how = origin::taken_over,
+        acquire(target.name, {.acquired_by = origin::taken_over,
                               .since = now,
                               .epoch = next_epoch(target.name),
                               .fence_until = now + records::max_request_lifetime});
@@ -44,25 +45,26 @@
     return change;
 }
 
-void ownership::review_owned(const configuration::configuration& configuration,
-                             const peer_table& peers, clock::time_point now,
-                             ownership_change& change) const {
+void ownership::reconcile_owned(const configuration::configuration& configuration,
+                                const peer_table& peers, clock::time_point now,
+                                ownership_change& change) const {
     for (const auto& [name, owned] : owned_) {
         if (configuration.find_target(name) == nullptr) {
-            change.to_withdraw.push_back(name);
+            change.unconfigured.push_back(name);
             continue;
         }
-        const auto other = peers.claim_of(name, now);
-        if (other.by != nullptr && supersedes(other.epoch, other.by->name, owned.epoch, self_)) {
-            change.to_yield.push_back(name);
+        const auto peer_claim = peers.claim_of(name, now);
+        if (peer_claim.claimant != nullptr &&
+            supersedes(peer_claim.epoch, peer_claim.claimant->name, owned.epoch, self_)) {
+            change.superseded.push_back(name);
         }
     }
 }
 
-void ownership::receive(std::string_view target, const owned_target& how) {
-    owned_[std::string{target}] = how;
-    forget_move(target);
-    note_epoch(target, how.epoch);
+void ownership::acquire(std::string_view target, const owned_target& record) {
+    owned_[std::string{target}] = record;
+    erase_move(target);
+    observe_epoch(target, record.epoch);
 }
 
 void ownership::release(std::string_view target) {
@@ -75,7 +77,7 @@
 std::int64_t ownership::begin_move(std::string_view target, const peer& receiver,
                                    clock::time_point now) {
     const auto epoch = next_epoch(target);
-    note_epoch(target, epoch);
+    observe_epoch(target, epoch);
     release(target);
     moved_[std::string{target}] = {.receiver = receiver.name,
                                    .receiver_incarnation = receiver.incarnation,
@@ -85,8 +87,8 @@
     return epoch;
 }
 
-void ownership::yield(std::string_view target, const claim& valid) {
-    note_epoch(target, valid.epoch);
+void ownership::relinquish(std::string_view target, const claim& valid) {
+    observe_epoch(target, valid.epoch);
     release(target);
 }
 
@@ -97,14 +99,14 @@
     }
 }
 
-void ownership::forget_move(std::string_view target) {
+void ownership::erase_move(std::string_view target) {
     const auto found = moved_.find(target);
     if (found != moved_.end()) {
         moved_.erase(found);
     }
 }
 
-void ownership::hold_takeovers(clock::time_point now, clock::duration time) {
+void ownership::delay_takeovers(clock::time_point now, clock::duration time) {
     listening_since_ = std::max(listening_since_, now + time - dead_after);
 }
 
@@ -119,7 +121,7 @@
     return found == epochs_.end() ? 1 : found->second + 1;
 }
 
-void ownership::note_epoch(std::string_view target, std::int64_t epoch) {
+void ownership::observe_epoch(std::string_view target, std::int64_t epoch) {
     auto& highest = epochs_[std::string{target}];
     highest = std::max(highest, epoch);
 }
@@ -144,16 +146,17 @@
     if (owned_.contains(target.name)) {
         return self_;
     }
-    const auto known = peers.claim_of(target.name, now);
-    // Failure: between the release and the receiver's first heartbeat nobody claims the target, and
-    // packets that still come here are dropped as unreachable. The releasing instance knows the
-    // receiver, so it forwards to it until a claim at least as late as the move is heard.
+    const auto current_claim = peers.claim_of(target.name, now);
+    // Between the release and the receiver's first heartbeat no instance claims the target, and
+    // packets that still arrive at the former owner would be dropped as unreachable. The former
+    // owner forwards them to the receiver until it receives a claim whose epoch is not lower than
+    // that of the move.
     if (const auto* move = find_move(target.name)) {
-        if (known.by == nullptr || known.epoch < move->epoch) {
+        if (current_claim.claimant == nullptr || current_claim.epoch < move->epoch) {
             return move->receiver;
         }
     }
-    return known.by == nullptr ? std::string{} : known.by->name;
+    return current_claim.claimant == nullptr ? std::string{} : current_claim.claimant->name;
 }
 
 }  // namespace bramleytrack::membership
--- a/libraries/membership/ownership.h
+++ b/libraries/membership/ownership.h
@@ -1,12 +1,13 @@
-// Which targets this instance owns. The owner alone counts what a target bears and holds the
-// records of its flows and requests, so two owners at a time would break both.
+// The targets that this instance owns. Only the owner accounts for a target's load and holds the
+// records of its flows and requests; two concurrent owners would overload the target and run
+// requests twice.
 //
-// An instance takes a target when it wins the rendezvous among its zone's live instances and no
-// live peer claims the target in its heartbeats. When a peer claims it, that peer is asked to hand
-// it over; the ownership changes with the hand-over, never before.
+// An instance takes over a target when it wins rendezvous hashing among the live instances of its
+// zone and no live peer claims the target in its heartbeats. If a peer claims it, the instance
+// requests a hand-over from that peer; ownership changes only with the hand-over.
 //
-// Each ownership of a target has an epoch that is higher than those of all earlier ones that this
-// instance knows of. When two instances claim one target all the same, the lower epoch yields.
+// Each ownership of a target has an epoch higher than that of every earlier ownership seen by this
+// instance. If two instances still claim one target, the one with the lower epoch gives it up.
 #pragma once
 
 #include <map>
@@ -21,20 +22,20 @@
 
 namespace bramleytrack::membership {
 
-// How an owned target came to this instance; says how much it may assume about its flows.
+// How this instance acquired a target, which determines whether its flow records are complete.
 enum class origin {
-    handed_over,  // all flows and requests are known
-    taken_over,   // the previous owner died: flows and running requests may be unknown
+    handed_over,  // the records of all flows and requests were transferred
+    taken_over,   // the previous owner failed: records of flows and running requests may be missing
 };
 
 struct owned_target {
-    origin how = origin::taken_over;
+    origin acquired_by = origin::taken_over;
     clock::time_point since;
     std::int64_t epoch = 0;
-    clock::time_point fence_until{};  // work that an earlier owner dispatched may run until then
+    clock::time_point fence_until{};  // requests dispatched by an earlier owner may run until then
 };
 
-// A target that was given to a peer.
+// A target that is being, or has been, handed over to a peer.
 struct moved_target {
     std::string receiver;
     std::int64_t receiver_incarnation = 0;
@@ -44,59 +45,61 @@
 };
 
 struct ownership_change {
-    std::vector<std::string> taken_over;   // now owned, previous owner gone
-    std::vector<std::string> wanted;       // ask the claimant for these
-    std::vector<std::string> to_yield;     // owned, but a peer has a later claim
-    std::vector<std::string> to_withdraw;  // owned, but no longer in the configuration
+    std::vector<std::string> taken_over;    // acquired because no live instance claims them
+    std::vector<std::string> to_request;    // claimed by a peer that should hand them over
+    std::vector<std::string> superseded;    // owned, but a peer's claim has precedence
+    std::vector<std::string> unconfigured;  // owned, but no longer in the configuration
 };
 
 class ownership {
 public:
     ownership(std::string self, std::string zone, clock::time_point started);
 
-    // Compares what is owned with what should be, given the peers seen now.
-    ownership_change review(const configuration::configuration& configuration,
-                            const peer_table& peers, clock::time_point now);
+    // Compares the owned targets with those that this instance should own given the live peers, and
+    // takes over targets that no live peer claims.
+    ownership_change reconcile(const configuration::configuration& configuration,
+                               const peer_table& peers, clock::time_point now);
 
-    void receive(std::string_view target, const owned_target& how);
+    void acquire(std::string_view target, const owned_target& record);
     void release(std::string_view target);
-    // Gives an owned target to `receiver` and returns the epoch of the receiver's ownership.
+    // Releases an owned target to `receiver` and returns the epoch of the receiver's ownership.
     std::int64_t begin_move(std::string_view target, const peer& receiver, clock::time_point now);
-    // As begin_move, but the receiver owns the target already by a later claim.
-    void yield(std::string_view target, const claim& valid);
+    // Releases a target that a peer already owns by the claim with precedence.
+    void relinquish(std::string_view target, const claim& valid);
     void complete_move(std::string_view target);
-    void forget_move(std::string_view target);
-    // Takes nothing over for `time`: what peers have said in a short stall is still unread.
-    void hold_takeovers(clock::time_point now, clock::duration time);
-    // Drops everything at once: this process was paused and a successor may be active.
+    void erase_move(std::string_view target);
+    // Suspends takeovers for `time`: after a short stall, heartbeats of peers may still be unread.
+    void delay_takeovers(clock::time_point now, clock::duration time);
+    // Drops all ownerships at once: this process was paused and a successor may be active.
     void drop_all(clock::time_point now);
 
-    // A later ownership than any that was seen of this target.
+    // An epoch higher than any seen for this target.
     std::int64_t next_epoch(std::string_view target) const;
     std::int64_t highest_epoch(std::string_view target) const { return next_epoch(target) - 1; }
-    void note_epoch(std::string_view target, std::int64_t epoch);
+    void observe_epoch(std::string_view target, std::int64_t epoch);
 
     const owned_target* find(std::string_view target) const;
     const moved_target* find_move(std::string_view target) const;
-    // True from the release until the receiver has all records: packets wait here.
+    // True from the release until the receiver has acknowledged all records; packets for the target
+    // are held back meanwhile.
     bool is_moving(std::string_view target) const;
     const std::map<std::string, owned_target, std::less<>>& owned() const { return owned_; }
     const std::map<std::string, moved_target, std::less<>>& moved() const { return moved_; }
 
-    // The instance that `target` is owned by as far as this one knows; empty when there is none.
+    // The owner of `target` in this instance's view; empty if none is known.
     std::string owner_of(const configuration::target& target, const peer_table& peers,
                          clock::time_point now) const;
 
 private:
-    void review_owned(const configuration::configuration& configuration, const peer_table& peers,
-                      clock::time_point now, ownership_change& change) const;
+    void reconcile_owned(const configuration::configuration& configuration, const peer_table& peers,
+                         clock::time_point now, ownership_change& change) const;
 
     std::string self_;
     std::string zone_;
-    clock::time_point listening_since_;  // claims of peers are known after dead_after
+    clock::time_point listening_since_;  // all claims of live peers have arrived dead_after later
     std::map<std::string, owned_target, std::less<>> owned_;
     std::map<std::string, moved_target, std::less<>> moved_;   // never holds an owned target
-    std::map<std::string, std::int64_t, std::less<>> epochs_;  // highest seen of each target
+    std::map<std::string, std::int64_t, std::less<>> epochs_;  // highest epoch seen for each target
 };
 
 }  // namespace bramleytrack::membership
--- a/libraries/membership/peer_table.cpp
+++ b/libraries/membership/peer_table.cpp
@@ -6,8 +6,8 @@
 namespace bramleytrack::membership {
 namespace {
 
-bool is_live(const peer& known, clock::time_point now) {
-    return known.last_heartbeat_at && now - *known.last_heartbeat_at < dead_after;
+bool is_live(const peer& record, clock::time_point now) {
+    return record.last_heartbeat_at && now - *record.last_heartbeat_at < dead_after;
 }
 
 }  // namespace
@@ -21,102 +21,105 @@
     : self_{std::move(self)}, zone_{std::move(zone)} {}
 
 void peer_table::set_listed(std::span<const listed_instance> listed, clock::time_point now) {
-    for (auto& [name, known] : peers_) {
-        known.is_listed = false;
+    for (auto& [name, record] : peers_) {
+        record.is_listed = false;
     }
     for (const auto& entry : listed) {
         if (entry.name == self_) {
             continue;
         }
-        auto& known = peers_[entry.name];
-        known.name = entry.name;
-        known.is_listed = true;
-        // What a live peer says about itself is newer than the platform's list. A silent one may
-        // have been replaced under another address, which only the list knows.
-        if (!is_live(known, now)) {
-            known.zone = entry.zone;
-            known.address = entry.address;
+        auto& record = peers_[entry.name];
+        record.name = entry.name;
+        record.is_listed = true;
+        // What a live peer reports about itself is newer than the platform's list. A peer that is
+        // not live may have been replaced at another address, which only the list contains.
+        if (!is_live(record, now)) {
+            record.zone = entry.zone;
+            record.address = entry.address;
         }
     }
 }
 
-bool peer_table::note_heartbeat_from(const wire::peer_message& message, clock::time_point now) {
+bool peer_table::accept_message(const wire::peer_message& message, clock::time_point now) {
     if (message.sender == self_) {
         return false;
     }
-    auto& known = peers_[message.sender];
-    known.name = message.sender;
-    // Failure: the host's clock was set back between two lives of the peer, its incarnation is
-    // lower than before, and it would be ignored for ever. Once the earlier life was silent for
-    // dead_after, no message of it can still be mistaken for a live owner's.
-    if (message.incarnation < known.incarnation && is_live(known, now)) {
+    auto& record = peers_[message.sender];
+    record.name = message.sender;
+    // If the host's clock is set back between two runs of a peer, its incarnation decreases and it
+    // would be ignored forever. So a lower incarnation is accepted once the earlier one was silent
+    // for dead_after: none of its messages can then be mistaken for those of a live owner.
+    if (message.incarnation < record.incarnation && is_live(record, now)) {
         return false;
     }
-    if (message.incarnation != known.incarnation) {
-        replace_claims(known, {});
-        known.is_leaving = false;
-        known.last_stamp = 0;
-        known.last_heartbeat_at.reset();
-        known.incarnation = message.incarnation;
-        // It takes nothing before it has listened for dead_after, and by then it has heard us.
-        known.confirmed = now;
-    }
-    if (message.__isset.beat && message.beat.stamp < known.last_stamp) {
+    if (message.incarnation != record.incarnation) {
+        replace_claims(record, {});
+        record.is_leaving = false;
+        record.last_stamp = 0;
+        record.last_heartbeat_at.reset();
+        record.incarnation = message.incarnation;
+        // A new incarnation takes over nothing before dead_after has passed, and receives this
+        // instance's heartbeats by then.
+        record.echoed_sent_at = now;
+    }
+    if (message.__isset.beat && message.beat.stamp < record.last_stamp) {
         return false;
     }
-    known.last_heartbeat_at = now;
+    record.last_heartbeat_at = now;
     if (message.__isset.beat) {
-        note_heartbeat(known, message.beat, now);
+        apply_heartbeat(record, message.beat, now);
     }
     return true;
 }
 
-void peer_table::note_heartbeat(peer& known, const wire::heartbeat& beat, clock::time_point now) {
-    known.zone = beat.zone;
-    known.address = beat.address;
-    known.is_leaving = beat.is_leaving;
-    known.configuration_version = beat.configuration_version;
-    known.last_stamp = beat.stamp;
-    known.confirmed = std::max(known.confirmed, std::min(to_time_point(beat.echo), now));
+void peer_table::apply_heartbeat(peer& record, const wire::heartbeat& heartbeat,
+                                 clock::time_point now) {
+    record.zone = heartbeat.zone;
+    record.address = heartbeat.address;
+    record.is_leaving = heartbeat.is_leaving;
+    record.configuration_version = heartbeat.configuration_version;
+    record.last_stamp = heartbeat.stamp;
+    record.echoed_sent_at =
+        std::max(record.echoed_sent_at, std::min(to_time_point(heartbeat.echo), now));
     std::map<std::string, std::int64_t, std::less<>> claims;
-    for (const auto& entry : beat.owned) {
+    for (const auto& entry : heartbeat.owned) {
         claims[entry.target] = entry.epoch;
     }
-    replace_claims(known, std::move(claims));
-    if (beat.is_stopping) {
-        known.last_heartbeat_at.reset();
+    replace_claims(record, std::move(claims));
+    if (heartbeat.is_stopping) {
+        record.last_heartbeat_at.reset();
     }
 }
 
-void peer_table::replace_claims(peer& known,
+void peer_table::replace_claims(peer& record,
                                 std::map<std::string, std::int64_t, std::less<>> claims) {
-    if (claims == known.claimed) {
+    if (claims == record.claimed) {
         return;
     }
-    for (const auto& [target, epoch] : known.claimed) {
+    for (const auto& [target, epoch] : record.claimed) {
         const auto found = claimants_.find(target);
-        std::erase(found->second, known.name);
+        std::erase(found->second, record.name);
         if (found->second.empty()) {
             claimants_.erase(found);
         }
     }
-    known.claimed = std::move(claims);
-    for (const auto& [target, epoch] : known.claimed) {
-        claimants_[target].push_back(known.name);
+    record.claimed = std::move(claims);
+    for (const auto& [target, epoch] : record.claimed) {
+        claimants_[target].push_back(record.name);
     }
 }
 
-void peer_table::forget_old(clock::time_point now) {
-    for (auto each = peers_.begin(); each != peers_.end();) {
-        auto& known = each->second;
+void peer_table::remove_expired(clock::time_point now) {
+    for (auto it = peers_.begin(); it != peers_.end();) {
+        auto& record = it->second;
         const bool is_silent =
-            !known.last_heartbeat_at || now - *known.last_heartbeat_at >= forget_after;
-        if (known.is_listed || !is_silent) {
-            ++each;
+            !record.last_heartbeat_at || now - *record.last_heartbeat_at >= peer_retention;
+        if (record.is_listed || !is_silent) {
+            ++it;
             continue;
         }
-        replace_claims(known, {});
-        each = peers_.erase(each);
+        replace_claims(record, {});
+        it = peers_.erase(it);
     }
 }
 
@@ -129,8 +132,8 @@
     if (name == self_) {
         return true;
     }
-    const auto* known = find(name);
-    return known != nullptr && is_live(*known, now);
+    const auto* record = find(name);
+    return record != nullptr && is_live(*record, now);
 }
 
 std::vector<std::string> peer_table::eligible_owners(std::string_view zone,
@@ -139,8 +142,8 @@
     if (zone == zone_ && is_self_eligible_) {
         result.push_back(self_);
     }
-    for (const auto& [name, known] : peers_) {
-        if (known.zone == zone && !known.is_leaving && is_live(known, now)) {
+    for (const auto& [name, record] : peers_) {
+        if (record.zone == zone && !record.is_leaving && is_live(record, now)) {
             result.push_back(name);
         }
     }
@@ -154,13 +157,14 @@
         return best;
     }
     for (const auto& name : found->second) {
-        const auto* known = find(name);
-        if (!is_live(*known, now)) {
+        const auto* record = find(name);
+        if (!is_live(*record, now)) {
             continue;
         }
-        const auto epoch = known->claimed.find(target)->second;
-        if (best.by == nullptr || supersedes(epoch, known->name, best.epoch, best.by->name)) {
-            best = {.by = known, .epoch = epoch};
+        const auto epoch = record->claimed.find(target)->second;
+        if (best.claimant == nullptr ||
+            supersedes(epoch, record->name, best.epoch, best.claimant->name)) {
+            best = {.claimant = record, .epoch = epoch};
         }
     }
     return best;
@@ -168,8 +172,9 @@
 
 bool peer_table::holds_lease(clock::time_point now) const {
     return std::ranges::all_of(peers_, [&](const auto& entry) {
-        const auto& known = entry.second;
-        return known.zone != zone_ || !is_live(known, now) || now - known.confirmed < owner_lease;
+        const auto& record = entry.second;
+        return record.zone != zone_ || !is_live(record, now) ||
+               now - record.echoed_sent_at < owner_lease;
     });
 }
 
--- a/libraries/membership/peer_table.h
+++ b/libraries/membership/peer_table.h
@@ -1,8 +1,8 @@
-// Which instances exist and which of them are alive, as seen from this one.
+// The peers of this instance and whether each is alive.
 //
-// Candidates come from the platform's lagging list; life and death come from heartbeats alone. The
-// list only says where to send the first heartbeat, so an entry that is stale, missing or wrong
-// never declares an instance dead or alive.
+// The platform's instance list, which may lag, only provides addresses for the first heartbeat;
+// liveness is determined by heartbeats alone. So a stale, missing or wrong list entry never makes a
+// peer count as dead or alive.
 #pragma once
 
 #include <cstdint>
@@ -18,18 +18,20 @@
 
 namespace bramleytrack::membership {
 
-// Heartbeats go to every peer this often.
+// Interval between heartbeats to each peer.
 constexpr clock::duration heartbeat_interval{500};
-// A peer that was silent for this long is dead to this instance: three heartbeats may be lost.
+// A peer from which nothing was received for this long counts as dead; three heartbeats in a row
+// may be lost.
 constexpr clock::duration dead_after{2000};
-// A gap between two events that is longer than this means that the process was paused. Shorter than
-// dead_after, so that a paused owner notices before a successor has taken over.
+// A longer gap between two events means that the process was paused. Shorter than dead_after, so
+// that a paused owner detects the pause before a successor takes over.
 constexpr clock::duration pause_limit{1200};
-// An owner starts new work only while every live peer of its zone has confirmed a heartbeat sent
-// this recently. Shorter than dead_after, so that it stops before any of them takes over.
+// An owner dispatches new work only while every live peer of its zone has echoed a heartbeat that
+// was sent within this time. Shorter than dead_after, so that it stops before a peer takes over.
 constexpr clock::duration owner_lease{1750};
-// A peer that is neither listed nor heard for this long is forgotten: bounds the table.
-constexpr clock::duration forget_after{60'000};
+// An unlisted peer from which nothing was received for this long is removed, which bounds the
+// table.
+constexpr clock::duration peer_retention{60'000};
 
 struct listed_instance {
     std::string name;
@@ -43,24 +45,27 @@
     std::string zone;
     std::string address;
     std::int64_t incarnation = 0;
-    std::optional<clock::time_point>
-        last_heartbeat_at;  // none: never heard, or stopped in a planned way
+    // None if nothing was received yet or the peer has shut down.
+    std::optional<clock::time_point> last_heartbeat_at;
     bool is_listed = false;
     bool is_leaving = false;
     std::int64_t configuration_version = 0;
-    std::map<std::string, std::int64_t, std::less<>> claimed;  // targets it says it owns, by epoch
-    std::int64_t last_stamp = 0;    // of its newest heartbeat; goes back to it as the echo
-    clock::time_point confirmed{};  // when this instance sent the newest heartbeat the peer has got
+    // Epoch of each target that it reports as owned.
+    std::map<std::string, std::int64_t, std::less<>> claimed;
+    // Time stamp of its newest heartbeat, returned to it as the echo.
+    std::int64_t last_stamp = 0;
+    // When this instance sent the newest heartbeat that the peer has echoed.
+    clock::time_point echoed_sent_at{};
 };
 
-// What a live peer says about its ownership of one target.
+// A live peer's claim to own one target.
 struct claim {
-    const peer* by = nullptr;
+    const peer* claimant = nullptr;
     std::int64_t epoch = 0;
 };
 
-// Whether the first of two claims of one target is the valid one. Two instances that see each
-// other's claim come to the same verdict, so exactly one of them yields.
+// Whether the first of two claims to one target has precedence. The order is total and the same at
+// every instance, so exactly one of two claimants gives the target up.
 bool supersedes(std::int64_t epoch, std::string_view name, std::int64_t other_epoch,
                 std::string_view other_name);
 
@@ -70,38 +75,38 @@
 
     void set_listed(std::span<const listed_instance> listed, clock::time_point now);
 
-    // Returns false when the message is from an earlier life of the peer, or a heartbeat older than
-    // one that was heard already, and must be ignored.
-    bool note_heartbeat_from(const wire::peer_message& message, clock::time_point now);
-    void forget_old(clock::time_point now);
+    // Updates the sender's liveness and state. Returns false if the message must be ignored: it is
+    // from an earlier incarnation of the sender, or an outdated heartbeat.
+    bool accept_message(const wire::peer_message& message, clock::time_point now);
+    void remove_expired(clock::time_point now);
 
     const peer* find(std::string_view name) const;
     bool is_alive(std::string_view name, clock::time_point now) const;
 
-    // Names of the instances of `zone` that can own targets, this one included if it may.
+    // Names of the instances of `zone` that can own targets, including this one if it is eligible.
     std::vector<std::string> eligible_owners(std::string_view zone, clock::time_point now) const;
 
-    // The valid one among the claims of live peers; `by` is null when there is none.
+    // The claim with precedence among those of live peers; `claimant` is null if there is none.
     claim claim_of(std::string_view target, clock::time_point now) const;
 
-    // Whether no live peer of the own zone can have declared this instance dead.
+    // Whether no live peer of this zone can have declared this instance dead.
     bool holds_lease(clock::time_point now) const;
 
     const std::map<std::string, peer, std::less<>>& peers() const { return peers_; }
 
-    // This instance stops being an eligible owner while it is leaving.
+    // An instance that is leaving is not an eligible owner.
     void set_self_eligible(bool is_eligible) { is_self_eligible_ = is_eligible; }
     bool is_self_eligible() const { return is_self_eligible_; }
 
 private:
-    void replace_claims(peer& known, std::map<std::string, std::int64_t, std::less<>> claims);
-    void note_heartbeat(peer& known, const wire::heartbeat& beat, clock::time_point now);
+    void replace_claims(peer& record, std::map<std::string, std::int64_t, std::less<>> claims);
+    void apply_heartbeat(peer& record, const wire::heartbeat& heartbeat, clock::time_point now);
 
     std::string self_;
     std::string zone_;
     bool is_self_eligible_ = true;
     std::map<std::string, peer, std::less<>> peers_;  // never holds this instance
-    // Names of the peers whose `claimed` names a target: the inverse of these maps.
+    // Names of the peers that claim each target: the inverse of peer::claimed.
     std::map<std::string, std::vector<std::string>, std::less<>> claimants_;
 };
 
--- a/libraries/requests/target_owner.cpp
+++ b/libraries/requests/target_owner.cpp
@@ -165,7 +165,7 @@
     // request is answered as unknown. A flow that no hand-over brought is in doubt for as long.
     auto doubt = shared_.loads[content.target].assumed_until;
     const auto* owned = shared_.ownership.find(content.target);
-    if (!is_open && owned != nullptr && owned->how == membership::origin::handed_over) {
+    if (!is_open && owned != nullptr && owned->acquired_by == membership::origin::handed_over) {
         doubt = std::max(doubt, now + records::max_request_lifetime);
     }
     // Failure: a late copy of an opening comes to the successor of the owner that had opened the
--- a/tests/ownership_failures_test.cpp
+++ b/tests/ownership_failures_test.cpp
@@ -205,8 +205,8 @@
     zone_.advance(3s);
     ASSERT_FALSE(late.empty());
     auto core = zone_.core(second_).state().peers;
-    EXPECT_FALSE(core.note_heartbeat_from(late.front().content, zone_.now()));
-    EXPECT_EQ(nullptr, core.claim_of("t", zone_.now()).by);
+    EXPECT_FALSE(core.accept_message(late.front().content, zone_.now()));
+    EXPECT_EQ(nullptr, core.claim_of("t", zone_.now()).claimant);
 }
 
 // An instance restarts on a host whose clock was set back. Its incarnation is lower than that of
