--- a/libraries/records/request_table.cpp
+++ b/libraries/records/request_table.cpp
@@ -7,29 +7,30 @@
 namespace bramleytrack::records {
 namespace {
 
-// The next time at which something has to happen to the request.
-clock::time_point due_at(const request& subject) {
-    if (subject.state == request_state::waiting) {
-        return subject.deadline;
+// When the request next needs processing: at its deadline while it waits, after the deadline and
+// its grace period while it holds a slot, and otherwise when its record expires.
+clock::time_point due_at(const request& entry) {
+    if (entry.state == request_state::waiting) {
+        return entry.deadline;
     }
-    return subject.holds_slot ? subject.deadline + deadline_grace : subject.forget_at;
+    return entry.holds_slot ? entry.deadline + deadline_grace : entry.forget_at;
 }
 
-wire::request_record record_of(const request& subject) {
+wire::request_record record_of(const request& entry) {
     wire::request_record record;
-    record.flow_key = static_cast<std::int64_t>(subject.id.flow);
-    record.request = subject.id.number;
-    record.state = static_cast<std::int32_t>(subject.state);
-    record.deadline = to_milliseconds(subject.deadline);
-    record.content = subject.content;
-    record.dispatch = subject.dispatch;
-    record.forget_at = to_milliseconds(subject.forget_at);
-    record.fingerprint = static_cast<std::int64_t>(subject.fingerprint);
-    record.is_in_doubt = subject.is_in_doubt;
-    record.holds_slot = subject.holds_slot;
-    record.is_flow_closed = subject.is_flow_closed;
-    record.attempts = subject.attempts;
-    record.arrived = to_milliseconds(subject.arrived);
+    record.flow_key = static_cast<std::int64_t>(entry.id.flow);
+    record.request = entry.id.number;
+    record.state = static_cast<std::int32_t>(entry.state);
+    record.deadline = to_milliseconds(entry.deadline);
+    record.content = entry.content;
+    record.dispatch = entry.dispatch;
+    record.forget_at = to_milliseconds(entry.forget_at);
+    record.fingerprint = static_cast<std::int64_t>(entry.fingerprint);
+    record.is_in_doubt = entry.may_have_run;
+    record.holds_slot = entry.holds_slot;
+    record.is_flow_closed = entry.is_flow_closed;
+    record.attempts = entry.attempts;
+    record.arrived = to_milliseconds(entry.arrived);
     return record;
 }
 
@@ -48,7 +49,7 @@
     return found == flow->second.end() ? nullptr : &found->second;
 }
 
-bool request_table::has_room(routing::flow_key flow, std::size_t payload_bytes) const {
+bool request_table::has_capacity(routing::flow_key flow, std::size_t payload_bytes) const {
     const auto found = flows_.find(flow);
     const bool is_flow_full = found != flows_.end() && found->second.size() >= max_records_per_flow;
     return !is_flow_full && size_ < max_records &&
@@ -69,42 +70,42 @@
     added.arrived = now;
     added.deadline = deadline;
     added.forget_at = now + max_request_lifetime;
-    count_payload(added);
-    set_due(added);
+    update_payload_bytes(added);
+    reschedule(added);
     return added;
 }
 
-void request_table::dispatch(request& subject, std::int64_t dispatch) {
-    subject.state = request_state::dispatched;
-    subject.dispatch = dispatch;
-    ++subject.attempts;
-    set_slot(subject, true);
+void request_table::dispatch(request& entry, std::int64_t dispatch) {
+    entry.state = request_state::dispatched;
+    entry.dispatch = dispatch;
+    ++entry.attempts;
+    set_holds_slot(entry, true);
 }
 
-void request_table::requeue(request& subject) {
-    subject.state = request_state::waiting;
-    set_slot(subject, false);
+void request_table::requeue(request& entry) {
+    entry.state = request_state::waiting;
+    set_holds_slot(entry, false);
 }
 
-void request_table::end(request& subject, wire::packet outcome, clock::time_point now) {
-    subject.state = request_state::ended;
-    subject.content = std::move(outcome);
-    count_payload(subject);
-    renew(subject, now);
+void request_table::end(request& entry, wire::packet outcome, clock::time_point now) {
+    entry.state = request_state::ended;
+    entry.content = std::move(outcome);
+    update_payload_bytes(entry);
+    extend_retention(entry, now);
 }
 
-void request_table::free_slot(request& subject) {
-    set_slot(subject, false);
+void request_table::free_slot(request& entry) {
+    set_holds_slot(entry, false);
 }
 
-void request_table::renew(request& subject, clock::time_point now) {
-    subject.forget_at = std::max(subject.forget_at, now + max_request_lifetime);
-    set_due(subject);
+void request_table::extend_retention(request& entry, clock::time_point now) {
+    entry.forget_at = std::max(entry.forget_at, now + max_request_lifetime);
+    reschedule(entry);
 }
 
 void request_table::erase(const request_id& id) {
-    if (auto* known = find(id)) {
-        remove(*known);
+    if (auto* entry = find(id)) {
+        remove(*entry);
     }
 }
 
@@ -113,7 +114,7 @@
     const auto found = flows_.find(flow);
     if (found != flows_.end()) {
         std::ranges::transform(found->second, std::back_inserter(result),
-                               [](const auto& entry) { return entry.first; });
+                               [](const auto& numbered) { return numbered.first; });
     }
     return result;
 }
@@ -129,7 +130,7 @@
     return result;
 }
 
-int request_table::dispatched_on(std::string_view target) const {
+int request_table::slots_held_on(std::string_view target) const {
     const auto found = slots_.find(std::string{target});
     return found == slots_.end() ? 0 : found->second;
 }
@@ -167,14 +168,14 @@
     restored.dispatch = record.dispatch;
     restored.forget_at = to_time_point(record.forget_at);
     restored.fingerprint = static_cast<std::uint64_t>(record.fingerprint);
-    restored.is_in_doubt = record.is_in_doubt;
+    restored.may_have_run = record.is_in_doubt;
     restored.is_flow_closed = record.is_flow_closed;
     restored.attempts = record.attempts;
     restored.arrived = to_time_point(record.arrived);
     restored.content = record.content;
-    set_slot(restored, record.holds_slot);
-    count_payload(restored);
-    set_due(restored);
+    set_holds_slot(restored, record.holds_slot);
+    update_payload_bytes(restored);
+    reschedule(restored);
 }
 
 void request_table::erase_on(std::string_view target) {
@@ -189,31 +190,31 @@
     }
 }
 
-void request_table::set_due(request& subject) {
-    due_.erase({subject.due, subject.id});
-    subject.due = due_at(subject);
-    due_.insert({subject.due, subject.id});
+void request_table::reschedule(request& entry) {
+    due_.erase({entry.due, entry.id});
+    entry.due = due_at(entry);
+    due_.insert({entry.due, entry.id});
 }
 
-void request_table::set_slot(request& subject, bool holds_slot) {
-    if (subject.holds_slot != holds_slot) {
-        slots_[subject.target] += holds_slot ? 1 : -1;
-        subject.holds_slot = holds_slot;
+void request_table::set_holds_slot(request& entry, bool holds_slot) {
+    if (entry.holds_slot != holds_slot) {
+        slots_[entry.target] += holds_slot ? 1 : -1;
+        entry.holds_slot = holds_slot;
     }
-    set_due(subject);
+    reschedule(entry);
 }
 
-void request_table::count_payload(request& subject) {
-    payload_bytes_ -= subject.payload_bytes;
-    subject.payload_bytes = subject.content.payload.size();
-    payload_bytes_ += subject.payload_bytes;
+void request_table::update_payload_bytes(request& entry) {
+    payload_bytes_ -= entry.payload_bytes;
+    entry.payload_bytes = entry.content.payload.size();
+    payload_bytes_ += entry.payload_bytes;
 }
 
-void request_table::remove(request& subject) {
-    const auto id = subject.id;
-    set_slot(subject, false);
-    due_.erase({subject.due, id});
-    payload_bytes_ -= subject.payload_bytes;
+void request_table::remove(request& entry) {
+    const auto id = entry.id;
+    set_holds_slot(entry, false);
+    due_.erase({entry.due, id});
+    payload_bytes_ -= entry.payload_bytes;
     --size_;
     const auto flow = flows_.find(id.flow);
     flow->second.erase(id.number);
--- a/libraries/records/request_table.h
+++ b/libraries/records/request_table.h
@@ -1,10 +1,11 @@
-// The requests on the targets that this instance owns, and their outcomes: makes retransmitted
-// copies of a request idempotent, and counts the slots that dispatched requests hold.
+// The requests on the targets that this instance owns, and their outcomes. Callers retransmit
+// requests; the records make the retransmissions idempotent. The table also counts the slots that
+// dispatched requests hold.
 //
-// Invariant: once a request has an outcome, every later copy gets that same outcome; only `unknown`
-// may still be followed by the request's own answer. So a request that was refused as not run never
-// runs afterwards, and one that ran never runs again.
-// Invariant: dispatched_on(target) equals the records of the target that hold a slot.
+// Invariant: once a request has an outcome, every retransmission gets the same outcome; only
+// `unknown` may still be followed by the target's answer. So a request that was rejected as not run
+// never runs afterwards, and one that ran never runs again.
+// Invariant: slots_held_on(target) equals the number of the target's records that hold a slot.
 #pragma once
 
 #include <cstdint>
@@ -22,25 +23,25 @@
 
 namespace bramleytrack::records {
 
-// No copy of a request comes later than this after the copy before it. Deadlines are cut to it, and
-// an outcome is kept for so long after the last copy.
+// Maximum time between two transmissions of a request. Deadlines are capped to it, and an outcome
+// is kept for this long after the last copy of its request.
 constexpr clock::duration max_request_lifetime{10'000};
-// A target that enforces the deadline may still be answering this long after it.
+// A target that enforces deadlines may still send an answer this long after the deadline.
 constexpr clock::duration deadline_grace{250};
-// Dispatches of one repeatable request that the target sheds.
+// Maximum number of dispatches of a repeatable request that the target sheds.
 constexpr int max_attempts = 2;
-// Records of one flow, so that one caller can't fill the table: 25 requests a second, far above
-// what a person's flow asks for.
+// Maximum number of records of one flow, so that a single caller can't fill the table. It allows 25
+// requests per second, far more than an interactive flow sends.
 constexpr std::size_t max_records_per_flow = 256;
-// Records and bytes of payload in all. At 700 requests a second for each of 5 owned targets, kept
-// for some 12 s, an owner holds 42,000.
+// Maximum number of records and payload bytes in the table. At 700 requests per second for each of
+// 5 owned targets, kept for about 12 s, an owner holds 42,000 records.
 constexpr std::size_t max_records = 100'000;
 constexpr std::size_t max_payload_bytes = std::size_t{128} << 20U;
 
 enum class request_state : std::int32_t {
     waiting = 1,     // in the queue, not sent to the target
     dispatched = 2,  // sent to the target, no outcome yet
-    ended = 3,       // has its outcome; kept for copies that arrive late
+    ended = 3,       // has its outcome; kept for late copies
 };
 
 struct request_id {
@@ -52,52 +53,51 @@
 struct request {
     request_id id;
     request_state state = request_state::waiting;
-    wire::packet content;  // as the caller sent it; once ended, the outcome
+    wire::packet content;  // the caller's packet; once ended, the outcome
     std::string target;
-    std::int64_t dispatch = 0;      // of the last dispatch to the target
-    int attempts = 0;               // dispatches so far
+    std::int64_t dispatch = 0;      // number of the last dispatch to the target
+    int attempts = 0;               // number of dispatches
     std::uint64_t fingerprint = 0;  // see fingerprint_of
-    bool is_in_doubt = false;       // an owner before this one may have dispatched it
-    bool holds_slot = false;        // the target may be running it, also when it has ended here
-    bool is_flow_closed = false;    // its number may be used again by a new flow
+    bool may_have_run = false;      // an earlier owner may have dispatched it
+    bool holds_slot = false;        // the target may be running it, even if its outcome is final
+    bool is_flow_closed = false;    // a new flow may reuse its number
     clock::time_point arrived;      // when the first copy reached an owner
-    clock::time_point deadline;     // of the first copy, cut; later copies don't change it
-    clock::time_point forget_at;    // when no copy can come any more
-    clock::time_point due;          // when the table has to look at it; see due_at
-    std::size_t payload_bytes = 0;  // counted in the table's total
+    clock::time_point deadline;     // of the first copy, capped; later copies don't change it
+    clock::time_point forget_at;    // when no further copy can arrive
+    clock::time_point due;          // when it next needs processing; see due_at
+    std::size_t payload_bytes = 0;  // its share of the table's total
 };
 
-// Fingerprint of a record that was made before a copy of the request itself came.
-constexpr std::uint64_t any_content = 0;
+// Fingerprint of a record that was created before any copy of its request arrived.
+constexpr std::uint64_t unknown_fingerprint = 0;
 
-// Hash of what makes two packets copies of one request besides the number.
+// Hash of the contents that two packets with one request number share if they are copies of one
+// request.
 std::uint64_t fingerprint_of(const wire::packet& content);
 
 class request_table {
 public:
     request* find(const request_id& id);
 
-    // False when the flow, or all flows together, have as many records as are kept.
-    bool has_room(routing::flow_key flow, std::size_t payload_bytes) const;
+    // False if the flow or the whole table has reached its maximum number of records or bytes.
+    bool has_capacity(routing::flow_key flow, std::size_t payload_bytes) const;
     request& add(const request_id& id, wire::packet content, std::string_view target,
                  clock::time_point now);
-    void dispatch(request& subject, std::int64_t dispatch);
-    // The target has not run it: it waits again.
-    void requeue(request& subject);
-    // Gives the request its outcome. A slot that it holds stays counted until free_slot.
-    void end(request& subject, wire::packet outcome, clock::time_point now);
-    void free_slot(request& subject);
-    // A copy has come: the outcome is kept for the copies after it.
-    void renew(request& subject, clock::time_point now);
+    void dispatch(request& entry, std::int64_t dispatch);
+    // Returns a request that the target has not run to the waiting state.
+    void requeue(request& entry);
+    // Sets the outcome of the request. A slot that it holds stays counted until free_slot.
+    void end(request& entry, wire::packet outcome, clock::time_point now);
+    void free_slot(request& entry);
+    // Extends the retention of the record after a copy of its request has arrived.
+    void extend_retention(request& entry, clock::time_point now);
     void erase(const request_id& id);
 
-    // Numbers of the flow's requests.
     std::vector<std::int64_t> numbers_of(routing::flow_key flow) const;
-    // Requests that have passed their deadline or can be forgotten, the longest due first.
+    // Requests that have passed their deadline or whose record has expired, earliest first.
     std::vector<request_id> due(clock::time_point now) const;
 
-    // Slots of the target that requests hold.
-    int dispatched_on(std::string_view target) const;
+    int slots_held_on(std::string_view target) const;
     std::vector<request_id> waiting_on(std::string_view target) const;
     std::vector<wire::request_record> records_on(std::string_view target) const;
     void restore(const wire::request_record& record, std::string_view target);
@@ -114,15 +114,15 @@
     }
 
 private:
-    void set_due(request& subject);
-    void set_slot(request& subject, bool holds_slot);
-    void count_payload(request& subject);
-    void remove(request& subject);
+    void reschedule(request& entry);
+    void set_holds_slot(request& entry, bool holds_slot);
+    void update_payload_bytes(request& entry);
+    void remove(request& entry);
 
-    // Node-based, so that a reference to a request stays valid while others come and go.
+    // Node-based, so that references to a request stay valid while others are added and removed.
     std::unordered_map<routing::flow_key, std::map<std::int64_t, request>> flows_;
     std::set<std::pair<clock::time_point, request_id>> due_;  // one entry per request
-    std::unordered_map<std::string, int> slots_;              // held slots by target
+    std::unordered_map<std::string, int> slots_;              // slots held, by target
     std::size_t size_ = 0;
     std::size_t payload_bytes_ = 0;
 };
--- a/libraries/requests/target_owner.cpp
+++ b/libraries/requests/target_owner.cpp
@@ -20,7 +20,7 @@
 
 // Whether `content` can be a copy of the request that `known` records.
 bool is_copy(const request& known, const wire::packet& content) {
-    return known.fingerprint == records::any_content ||
+    return known.fingerprint == records::unknown_fingerprint ||
            known.fingerprint == records::fingerprint_of(content);
 }
 
@@ -206,7 +206,7 @@
         shared_.requests.erase(id);
     }
     // Without a record "not run" could become false with a later copy.
-    if (!shared_.requests.has_room(id.flow, content.content.payload.size())) {
+    if (!shared_.requests.has_capacity(id.flow, content.content.payload.size())) {
         shared_.out.answer_unknown(content.content, result_code::too_many_requests);
         return;
     }
@@ -214,8 +214,8 @@
     auto& added = shared_.requests.add(id, std::move(content.content), target.name, now);
     // Past the lifetime of its copies the record of an earlier copy may be gone.
     const bool is_stale = now >= added.deadline + records::max_request_lifetime;
-    added.is_in_doubt = now < in_doubt_until || is_stale;
-    if (added.is_in_doubt && !may_run_twice(added.content)) {
+    added.may_have_run = now < in_doubt_until || is_stale;
+    if (added.may_have_run && !may_run_twice(added.content)) {
         give_up(added, result_code::outcome_unknown, clock::duration{0}, now);
         return;
     }
@@ -250,7 +250,7 @@
         shared_.out.answer_unknown(copy, result_code::number_reused);
         return;
     }
-    shared_.requests.renew(known, now);
+    shared_.requests.extend_retention(known, now);
     if (known.state == request_state::ended) {
         shared_.out.send_caller(known.content);
     }
@@ -260,7 +260,7 @@
 // shed, unless an owner before this one may have dispatched it.
 void target_owner::give_up(request& subject, result_code code, clock::duration retry_after,
                            clock::time_point now) {
-    if (subject.is_in_doubt) {
+    if (subject.may_have_run) {
         end_request(subject,
                     reply_to(subject.content, packet_kind::unknown, result_code::outcome_unknown),
                     now);
@@ -331,7 +331,7 @@
 }
 
 void target_owner::count_slots(std::string_view target) {
-    shared_.loads[std::string{target}].slots_in_use = shared_.requests.dispatched_on(target);
+    shared_.loads[std::string{target}].slots_in_use = shared_.requests.slots_held_on(target);
 }
 
 void target_owner::cancel_request(const configuration::target& target, wire::forward content,
@@ -347,7 +347,7 @@
     }
     if (known->state == request_state::ended) {
         // The cancellation crossed with the outcome, or that was lost.
-        if (known->fingerprint != records::any_content) {
+        if (known->fingerprint != records::unknown_fingerprint) {
             shared_.out.send_caller(known->content);
         }
         return;
@@ -364,13 +364,13 @@
                                      const wire::forward& content, clock::time_point now) {
     const auto id = id_of(content.content);
     const auto* flow = shared_.flows.find(id.flow);
-    if (flow == nullptr || !shared_.requests.has_room(id.flow, 0)) {
+    if (flow == nullptr || !shared_.requests.has_capacity(id.flow, 0)) {
         return;
     }
     auto& added = shared_.requests.add(id, content.content, target.name, now);
-    added.fingerprint = records::any_content;
-    added.is_in_doubt = to_milliseconds(now) < flow->record.in_doubt_until;
-    const auto kind = added.is_in_doubt ? packet_kind::unknown : packet_kind::refused;
+    added.fingerprint = records::unknown_fingerprint;
+    added.may_have_run = to_milliseconds(now) < flow->record.in_doubt_until;
+    const auto kind = added.may_have_run ? packet_kind::unknown : packet_kind::refused;
     shared_.requests.end(added, reply_to(content.content, kind, result_code::cancelled), now);
 }
 
--- a/libraries/requests/target_owner_replies.cpp
+++ b/libraries/requests/target_owner_replies.cpp
@@ -67,7 +67,7 @@
     // taken for that of the last dispatch. The slot would be free while the target still works.
     const bool is_of_last_dispatch =
         known->target == target.name && known->dispatch == content.dispatch && known->attempts > 0;
-    if (!is_of_last_dispatch && !known->is_in_doubt) {
+    if (!is_of_last_dispatch && !known->may_have_run) {
         shared_.out.drop(content, result_code::unknown_request);
         return;
     }
@@ -96,14 +96,14 @@
                                        const wire::packet& content, clock::time_point now) {
     const auto id = id_of(content);
     const bool is_expected = now < shared_.loads[target.name].assumed_until;
-    if (!is_expected || !shared_.requests.has_room(id.flow, content.payload.size())) {
+    if (!is_expected || !shared_.requests.has_capacity(id.flow, content.payload.size())) {
         shared_.out.drop(content, result_code::unknown_request);
         return;
     }
     auto& added = shared_.requests.add(id, reply_to(content, packet_kind::request, result_code::ok),
                                        target.name, now);
-    added.fingerprint = records::any_content;
-    added.is_in_doubt = true;
+    added.fingerprint = records::unknown_fingerprint;
+    added.may_have_run = true;
     note_inherited_end(target, false);
     end_request(added, content, now);
     dispatch_waiting(target, now);
--- a/tests/requests_property_test.cpp
+++ b/tests/requests_property_test.cpp
@@ -260,7 +260,7 @@
                 const auto load = state.loads.find(target);
                 const int counted = load == state.loads.end() ? 0 : load->second.slots_in_use;
                 RC_ASSERT(counted == held[target]);
-                RC_ASSERT(state.requests.dispatched_on(target) == held[target]);
+                RC_ASSERT(state.requests.slots_held_on(target) == held[target]);
             }
         }
     }
