--- a/libraries/instance/instance.cpp
+++ b/libraries/instance/instance.cpp
@@ -65,8 +65,8 @@
                    .reported_loads = context_.reported_loads,
                    .placements = context_.placements,
                    .out = context_.out},
-                  [this](const configuration::target& target, membership::origin how) {
-                      owner_.on_gained(target, how, now_);
+                  [this](const configuration::target& target, membership::origin origin) {
+                      owner_.on_acquired(target, origin, now_);
                   },
                   [this](const configuration::target& target) { owner_.on_merged(target, now_); }},
       configuration_sync_{{.configuration = context_.configuration,
--- a/libraries/requests/target_owner.h
+++ b/libraries/requests/target_owner.h
@@ -1,5 +1,7 @@
-// The owner's side of a target: admits flows and requests, sends them to the target, and turns what
-// the target says into final answers to callers.
+// The owner's side of a target: admits flows and requests, sends them to the target, and turns the
+// target's packets into final outcomes for callers. Packets may be lost, repeated or reordered, and
+// an earlier owner may have failed; the owner's records keep a request from running twice, and one
+// that may have run from being reported as not run.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +23,7 @@
 
 class target_owner {
 public:
-    // What it needs of the instance.
+    // The parts of the instance that the owner uses.
     struct shared_state {
         const identity& self;
         counters& counts;
@@ -37,17 +39,18 @@
 
     target_owner(const shared_state& shared, packet_path& path);
 
-    // `content` concerns a flow on an owned target: from its home or, after a move of the
-    // ownership, from an earlier owner.
+    // Handles a packet for a flow on an owned target, forwarded by the flow's home or, after a
+    // hand-over, by an earlier owner.
     void handle(wire::forward content, clock::time_point now);
     void on_target_packet(std::string_view address, const wire::packet& content,
                           clock::time_point now);
     void on_tick(clock::time_point now);
 
-    // The target has become this instance's; `how` says what may be running there unseen.
-    void on_gained(const configuration::target& target, membership::origin how,
-                   clock::time_point now);
-    // Records of a target that is owned already have arrived: counts anew.
+    // Initializes the load of a target that this instance has acquired. After a takeover, requests
+    // of the failed owner may still be running on it.
+    void on_acquired(const configuration::target& target, membership::origin acquired_by,
+                     clock::time_point now);
+    // Recomputes the load of an owned target after further records of it have arrived.
     void on_merged(const configuration::target& target, clock::time_point now);
 
 private:
@@ -56,8 +59,8 @@
 
     void open_flow(const configuration::target& target, wire::forward content,
                    clock::time_point now);
-    void pass_to_target(const configuration::target& target, wire::forward content,
-                        clock::time_point now);
+    void forward_to_target(const configuration::target& target, wire::forward content,
+                           clock::time_point now);
     void accept_request(const configuration::target& target, wire::forward content,
                         clock::time_point now);
     void cancel_request(const configuration::target& target, wire::forward content,
@@ -81,36 +84,37 @@
                    clock::time_point now);
 
     flows::flow& ensure_flow(const wire::forward& content, clock::time_point now);
-    void repeat_outcome(request& known, const wire::packet& copy, clock::time_point now);
-    void give_up(request& subject, result_code code, clock::duration retry_after,
-                 clock::time_point now);
-    void dispatch(const configuration::target& target, request& subject, clock::time_point now);
-    void count_records(const configuration::target& target, clock::time_point now);
-    void refuse_request(const load::refusal& refused, clock::time_point now);
+    void resend_outcome(request& existing, const wire::packet& copy, clock::time_point now);
+    void reject(request& record, result_code code, clock::duration retry_after,
+                clock::time_point now);
+    void dispatch(const configuration::target& target, request& record, clock::time_point now);
+    void recount_load(const configuration::target& target, clock::time_point now);
+    void apply_rejection(const load::refusal& refused, clock::time_point now);
     void dispatch_waiting(const configuration::target& target, clock::time_point now);
-    void end_request(request& subject, wire::packet outcome, clock::time_point now);
-    void reply_zone_out(const wire::packet& content, clock::time_point now);
-    void refuse_waiting(load::target_load& load, clock::time_point now);
-    void retry_or_refuse(const configuration::target& target, request& subject,
-                         std::int32_t come_back_ms, clock::time_point now);
-    void end_on_reset(request& subject, clock::time_point now);
-    void expire(request& subject, clock::time_point now);
-    void note_early_cancel(const configuration::target& target, const wire::forward& content,
-                           clock::time_point now);
-    void on_inherited_answer(const configuration::target& target, const wire::packet& content,
+    void end_request(request& record, wire::packet outcome, clock::time_point now);
+    void reply_zone_out_of_service(const wire::packet& content, clock::time_point now);
+    void reject_waiting(load::target_load& load, clock::time_point now);
+    void retry_or_reject(const configuration::target& target, request& record,
+                         std::int32_t retry_after_ms, clock::time_point now);
+    void end_after_reset(request& record, clock::time_point now);
+    void expire(request& record, clock::time_point now);
+    void record_early_cancel(const configuration::target& target, const wire::forward& content,
                              clock::time_point now);
-    void note_inherited_end(const configuration::target& target, bool is_own);
-    bool is_later_than_inherited_work(const configuration::target& target,
-                                      const wire::packet& report, clock::time_point now) const;
-    void ask_for_report(const configuration::target& target, clock::time_point now);
-    void free_slot(request& subject, load::ending how, clock::time_point now);
-    void count_slots(std::string_view target);
-    void log_cold_start(const configuration::target& target, std::string_view seen_by);
+    void on_predecessor_answer(const configuration::target& target, const wire::packet& content,
+                               clock::time_point now);
+    void count_predecessor_completion(const configuration::target& target, bool is_own_dispatch);
+    bool reflects_all_predecessor_work(const configuration::target& target,
+                                       const wire::packet& report, clock::time_point now) const;
+    void request_report(const configuration::target& target, clock::time_point now);
+    void free_slot(request& record, load::ending ending, clock::time_point now);
+    void update_slots_in_use(std::string_view target);
+    void log_cold_start(const configuration::target& target, std::string_view detected_by);
 
     shared_state shared_;
     packet_path& path_;
-    // Differs between instances and between the lives of one, and rises with each dispatch.
-    std::uint64_t last_dispatch_;
+    // Starts at a value that differs between instances and incarnations, and increases with each
+    // dispatch.
+    std::uint64_t last_dispatch_number_;
 };
 
 }  // namespace bramleytrack::requests
--- a/libraries/requests/target_owner_replies.cpp
+++ b/libraries/requests/target_owner_replies.cpp
@@ -1,4 +1,4 @@
-// What targets say: acceptances, answers, work that they turned away, resets and reports.
+// Handles the packets of targets: acceptances of flows, answers, shed requests, resets and reports.
 #include <algorithm>
 #include <array>
 
@@ -12,10 +12,10 @@
 
 using wire::packet_kind;
 
-// A report shows the target as it was at most so long before the question.
+// A report reflects the state of the target at most this long before it was requested.
 constexpr clock::duration report_lag{2'000};
-// A dead owner dispatched its last request at least so long before the takeover: it was silent for
-// dead_after, and heartbeats are sent each heartbeat_interval.
+// A failed owner dispatched its last request at least this long before the takeover: it was silent
+// for dead_after, and heartbeats are sent every heartbeat_interval.
 constexpr clock::duration silence_before_takeover =
     membership::dead_after - membership::heartbeat_interval;
 
@@ -27,7 +27,7 @@
         packet_kind kind;
         target_handler handle;
     };
-    static constexpr std::array table{
+    static constexpr std::array handlers{
         entry{packet_kind::open_accepted, &target_owner::on_opened},
         entry{packet_kind::answer, &target_owner::on_answer},
         entry{packet_kind::shed, &target_owner::on_shed},
@@ -37,20 +37,20 @@
     };
     ++shared_.counts.packets_from_targets;
     const auto* target = shared_.configuration.find_target_by_address(address);
-    const auto* found = std::ranges::find(table, content.kind, &entry::kind);
-    if (target == nullptr || found == table.end()) {
+    const auto* dispatcher = std::ranges::find(handlers, content.kind, &entry::kind);
+    if (target == nullptr || dispatcher == handlers.end()) {
         shared_.out.drop(content, result_code::malformed_datagram);
         return;
     }
-    (this->*found->handle)(*target, content, now);
+    (this->*dispatcher->handle)(*target, content, now);
 }
 
 void target_owner::on_opened(const configuration::target& /*target*/, const wire::packet& content,
                              clock::time_point now) {
-    auto* known = shared_.flows.find(routing::key_of(content));
-    if (known != nullptr) {
-        known->state = flows::flow_state::established;
-        known->last_used = now;
+    auto* flow = shared_.flows.find(routing::key_of(content));
+    if (flow != nullptr) {
+        flow->state = flows::flow_state::established;
+        flow->last_used = now;
     }
     shared_.out.send_caller(content);
 }
@@ -58,29 +58,30 @@
 void target_owner::on_answer(const configuration::target& target, const wire::packet& content,
                              clock::time_point now) {
     const auto id = id_of(content);
-    auto* known = shared_.requests.find(id);
-    if (known == nullptr) {
-        on_inherited_answer(target, content, now);
+    auto* record = shared_.requests.find(id);
+    if (record == nullptr) {
+        on_predecessor_answer(target, content, now);
         return;
     }
-    // Failure: the answer to an earlier dispatch, or to an earlier request of the same number, is
-    // taken for that of the last dispatch. The slot would be free while the target still works.
-    const bool is_of_last_dispatch =
-        known->target == target.name && known->dispatch == content.dispatch && known->attempts > 0;
-    if (!is_of_last_dispatch && !known->may_have_run) {
+    // An answer to an earlier dispatch, or to an earlier request with the same number, must not be
+    // taken for the answer to the last dispatch: the slot would be freed while the target is still
+    // running the request.
+    const bool is_of_last_dispatch = record->target == target.name &&
+                                     record->dispatch == content.dispatch && record->attempts > 0;
+    if (!is_of_last_dispatch && !record->may_have_run) {
         shared_.out.drop(content, result_code::unknown_request);
         return;
     }
-    if (is_of_last_dispatch && known->holds_slot) {
-        free_slot(*known, load::ending::answered, now);
+    if (is_of_last_dispatch && record->holds_slot) {
+        free_slot(*record, load::ending::answered, now);
     }
-    // A late answer is the truth that `unknown` left open. Nothing follows any other outcome.
-    const bool is_open_still =
-        known->state != request_state::ended || known->content.kind == packet_kind::unknown;
-    if (is_open_still) {
-        note_inherited_end(target, is_of_last_dispatch);
-        end_request(*known, content, now);
-    } else if (known->content.kind == packet_kind::refused) {
+    // A late answer replaces the outcome `unknown`. Any other outcome is final.
+    const bool accepts_answer =
+        record->state != request_state::ended || record->content.kind == packet_kind::unknown;
+    if (accepts_answer) {
+        count_predecessor_completion(target, is_of_last_dispatch);
+        end_request(*record, content, now);
+    } else if (record->content.kind == packet_kind::refused) {
         shared_.out.log(log_event{"answer_after_refusal"}
                             .with("target", target.name)
                             .with("flow", content.flow)
@@ -89,11 +90,11 @@
     dispatch_waiting(target, now);
 }
 
-// Dispatched by an owner that died: the answer is whole and names its request. Once no request of
-// an earlier owner can be running, such an answer is older than the records and its number may have
-// been used again.
-void target_owner::on_inherited_answer(const configuration::target& target,
-                                       const wire::packet& content, clock::time_point now) {
+// Handles an answer to a request that a failed owner dispatched: the answer is complete and
+// identifies its request. Once no request of an earlier owner can be running, an answer without a
+// record is older than the retention of records and its number may have been reused.
+void target_owner::on_predecessor_answer(const configuration::target& target,
+                                         const wire::packet& content, clock::time_point now) {
     const auto id = id_of(content);
     const bool is_expected = now < shared_.loads[target.name].assumed_until;
     if (!is_expected || !shared_.requests.has_capacity(id.flow, content.payload.size())) {
@@ -104,14 +105,15 @@
                                        target.name, now);
     added.fingerprint = records::unknown_fingerprint;
     added.may_have_run = true;
-    note_inherited_end(target, false);
+    count_predecessor_completion(target, false);
     end_request(added, content, now);
     dispatch_waiting(target, now);
 }
 
-// One request of an earlier owner has ended, so one slot fewer can be taken by such requests.
-void target_owner::note_inherited_end(const configuration::target& target, bool is_own) {
-    if (is_own) {
+// A request of an earlier owner has ended, so such requests can hold one slot fewer.
+void target_owner::count_predecessor_completion(const configuration::target& target,
+                                                bool is_own_dispatch) {
+    if (is_own_dispatch) {
         return;
     }
     auto& load = shared_.loads[target.name];
@@ -122,66 +124,65 @@
 
 void target_owner::on_shed(const configuration::target& target, const wire::packet& content,
                            clock::time_point now) {
-    auto* known = shared_.requests.find(id_of(content));
-    const bool is_of_last_dispatch = known != nullptr && known->target == target.name &&
-                                     known->holds_slot && known->dispatch == content.dispatch;
+    auto* record = shared_.requests.find(id_of(content));
+    const bool is_of_last_dispatch = record != nullptr && record->target == target.name &&
+                                     record->holds_slot && record->dispatch == content.dispatch;
     if (!is_of_last_dispatch) {
         return;
     }
-    free_slot(*known, load::ending::not_run, now);
+    free_slot(*record, load::ending::not_run, now);
     auto& load = shared_.loads[target.name];
-    // Requests of an earlier owner may fill the slots: then a shed says nothing about the target.
+    // While requests of an earlier owner may hold slots, a shed doesn't indicate a cold target.
     if (load.assumed_slots == 0 && load.cold.on_shed(now)) {
         log_cold_start(target, "shed");
     }
-    if (known->state == request_state::dispatched) {
-        retry_or_refuse(target, *known, content.come_back_ms, now);
+    if (record->state == request_state::dispatched) {
+        retry_or_reject(target, *record, content.come_back_ms, now);
     }
     dispatch_waiting(target, now);
 }
 
-// The target has not run the request. A repeatable one waits for a slot again while this owner has
-// other work there, whose end shows that the target takes work again; else it would be shed at
-// once.
-void target_owner::retry_or_refuse(const configuration::target& target, request& subject,
-                                   std::int32_t come_back_ms, clock::time_point now) {
+// Called for a request that the target has shed, i.e. not run. A repeatable request is queued again
+// if other requests of this owner are running on the target: the end of one of them shows that the
+// target accepts work again. Without any, it would be dispatched and shed again immediately.
+void target_owner::retry_or_reject(const configuration::target& target, request& record,
+                                   std::int32_t retry_after_ms, clock::time_point now) {
     auto& load = shared_.loads[target.name];
-    const bool may_retry =
-        may_run_twice(subject.content) && subject.attempts < records::max_attempts;
+    const bool may_retry = is_repeatable(record.content) && record.attempts < records::max_attempts;
     if (may_retry && load.slots_in_use > 0) {
-        shared_.requests.requeue(subject);
-        load::requeue(load, work_of(subject, load), now);
+        shared_.requests.requeue(record);
+        load::requeue(load, work_of(record, load), now);
         return;
     }
-    give_up(subject, result_code::shed_by_target,
-            clock::duration{std::max(come_back_ms, std::int32_t{1})}, now);
+    reject(record, result_code::shed_by_target,
+           clock::duration{std::max(retry_after_ms, std::int32_t{1})}, now);
 }
 
 void target_owner::on_push(const configuration::target& /*target*/, const wire::packet& content,
                            clock::time_point now) {
-    if (auto* known = shared_.flows.find(routing::key_of(content))) {
-        known->last_used = now;
+    if (auto* flow = shared_.flows.find(routing::key_of(content))) {
+        flow->last_used = now;
     }
     shared_.out.send_caller(content);
 }
 
-// Failure: a late or repeated reset of a target that was only asked about a flow ends the flow,
-// which lives on another target. Only the target that the flow is placed on can end it.
-// Failure: a packet of a closed flow reaches the target before the opening of the flow that uses
-// its number again, and the reset ends the new flow. While a flow opens, its target accepts it.
+// Ignores two kinds of resets that would otherwise end a flow wrongly. A target that was only
+// probed for a flow may send a late or repeated reset; only the target on which the flow is placed
+// can end it. And a packet of a closed flow may reach the target before the opening of a flow that
+// reuses its number; a target never resets a flow that is opening, because it accepts it.
 void target_owner::on_reset(const configuration::target& target, const wire::packet& content,
                             clock::time_point now) {
     const auto key = routing::key_of(content);
     const auto* flow = shared_.flows.find(key);
-    const bool is_other = flow != nullptr && (flow->record.target != target.name ||
+    const bool is_stale = flow != nullptr && (flow->record.target != target.name ||
                                               flow->state == flows::flow_state::opening);
-    if (is_other) {
+    if (is_stale) {
         return;
     }
     for (const auto number : shared_.requests.numbers_of(key)) {
-        auto& subject = *shared_.requests.find({key, number});
-        if (subject.target == target.name) {
-            end_on_reset(subject, now);
+        auto& record = *shared_.requests.find({key, number});
+        if (record.target == target.name) {
+            end_after_reset(record, now);
         }
     }
     dispatch_waiting(target, now);
@@ -195,15 +196,15 @@
     shared_.out.send_caller(content);
 }
 
-// Failure: the target resets a cancellation on a flow that was closed while its request runs, and
-// the request is taken for one that was not run. A reset doesn't say which packet it answers, so a
-// dispatched request may have run and may still be running; its slot stays taken.
-void target_owner::end_on_reset(request& subject, clock::time_point now) {
-    if (subject.state == request_state::waiting) {
-        give_up(subject, result_code::unknown_flow, clock::duration{0}, now);
-    } else if (subject.state == request_state::dispatched) {
-        end_request(subject,
-                    reply_to(subject.content, packet_kind::unknown, result_code::outcome_unknown),
+// A reset doesn't identify the packet that it answers. For example, the target resets a
+// cancellation on a closed flow whose request is still running. So a dispatched request may have
+// run or may still be running: its outcome is unknown and its slot stays in use.
+void target_owner::end_after_reset(request& record, clock::time_point now) {
+    if (record.state == request_state::waiting) {
+        reject(record, result_code::unknown_flow, clock::duration{0}, now);
+    } else if (record.state == request_state::dispatched) {
+        end_request(record,
+                    reply_to(record.content, packet_kind::unknown, result_code::outcome_unknown),
                     now);
     }
 }
@@ -211,32 +212,38 @@
 void target_owner::on_report(const configuration::target& target, const wire::packet& content,
                              clock::time_point now) {
     auto& load = shared_.loads[target.name];
-    const auto& said = content.report_of_target;
-    load.inherited.on_report(said.connections, load.connections, now);
-    if (load.cold.on_report(said.is_cold, now)) {
+    const auto& report = content.report_of_target;
+    load.inherited.on_report(report.connections, load.connections, now);
+    if (load.cold.on_report(report.is_cold, now)) {
         log_cold_start(target, "report");
     }
-    if (is_later_than_inherited_work(target, content, now)) {
-        load.assumed_slots = std::min(load.assumed_slots, std::max(0, said.slots_in_use));
+    if (reflects_all_predecessor_work(target, content, now)) {
+        load.assumed_slots = std::min(load.assumed_slots, std::max(0, report.slots_in_use));
         dispatch_waiting(target, now);
     }
 }
 
-void target_owner::log_cold_start(const configuration::target& target, std::string_view seen_by) {
-    shared_.out.log(log_event{"cold_start"}.with("target", target.name).with("seen_by", seen_by));
+void target_owner::log_cold_start(const configuration::target& target,
+                                  std::string_view detected_by) {
+    shared_.out.log(
+        log_event{"cold_start"}.with("target", target.name).with("seen_by", detected_by));
 }
 
-// Failure: a report from before the takeover, or one that lags, shows free slots that the dead
-// owner filled afterwards, and the target gets more than its slots. A question's sequence is the
-// time of asking. What the report shows is at most report_lag older, so a question asked late
-// enough shows the target after the dead owner's last dispatch, from when its work can only end.
-// What this owner dispatched since is counted in as well, which errs on the safe side.
-bool target_owner::is_later_than_inherited_work(const configuration::target& target,
-                                                const wire::packet& report,
-                                                clock::time_point now) const {
-    const auto taken_over_at = shared_.loads[target.name].assumed_until - inherited_lifetime;
-    const auto asked = to_time_point(report.sequence);
-    return asked >= taken_over_at + report_lag - silence_before_takeover && asked <= now;
+// Whether a report reflects all requests that a failed owner dispatched. A report from before the
+// takeover, or one that lags, may show free slots that the failed owner filled afterwards; relying
+// on it would overload the target. The sequence of a report request is the time at which it was
+// sent, and the report's content is at most report_lag older. So a report that was requested late
+// enough shows the target after the failed owner's last dispatch, when the number of its requests
+// can only decrease. Requests that this owner has dispatched since are included, which errs on the
+// safe side.
+bool target_owner::reflects_all_predecessor_work(const configuration::target& target,
+                                                 const wire::packet& report,
+                                                 clock::time_point now) const {
+    const auto taken_over_at =
+        shared_.loads[target.name].assumed_until - max_predecessor_work_lifetime;
+    const auto requested_at = to_time_point(report.sequence);
+    return requested_at >= taken_over_at + report_lag - silence_before_takeover &&
+           requested_at <= now;
 }
 
 }  // namespace bramleytrack::requests
--- a/libraries/requests/target_owner_upkeep.cpp
+++ b/libraries/requests/target_owner_upkeep.cpp
@@ -1,4 +1,5 @@
-// What an owner does unasked: takes targets on, asks them for reports, and ends what is overdue.
+// The owner's periodic and ownership-driven work: initializes acquired targets, requests their
+// reports, and ends overdue requests.
 #include "requests/target_owner.h"
 #include "requests/work_of_request.h"
 
@@ -7,47 +8,47 @@
 
 using wire::packet_kind;
 
-// How often an owner asks its target for a report: always, and while it assumes that slots are
-// taken.
+// Interval between report requests to a target, normally and while the owner assumes that requests
+// of an earlier owner hold slots.
 constexpr clock::duration report_interval{1'000};
-constexpr clock::duration assuming_report_interval{200};
-// How often on_tick is called.
+constexpr clock::duration takeover_report_interval{200};
+// Interval between calls of on_tick.
 constexpr clock::duration tick_length{100};
 
 }  // namespace
 
-void target_owner::on_gained(const configuration::target& target, membership::origin how,
-                             clock::time_point now) {
+void target_owner::on_acquired(const configuration::target& target, membership::origin acquired_by,
+                               clock::time_point now) {
     auto& load = shared_.loads[target.name];
     load = {};
-    count_records(target, now);
-    if (how == membership::origin::taken_over) {
-        // Failure: requests of the dead owner still run and fill the slots; a new one on top
-        // overloads the target. It shows as more work than slots. Nothing runs past its deadline;
-        // answers and reports end the assumption sooner.
+    recount_load(target, now);
+    if (acquired_by == membership::origin::taken_over) {
+        // Requests of the failed owner may still hold slots, and further requests would exceed the
+        // target's slots. None of them runs past its deadline, so all slots are assumed to be in
+        // use for max_predecessor_work_lifetime; answers and reports end the assumption sooner.
         load.assumed_slots = target.slots;
-        load.assumed_until = now + inherited_lifetime;
-        const auto heard = shared_.reported_loads.find(target.name);
-        load.inherited.begin(heard == shared_.reported_loads.end()
+        load.assumed_until = now + max_predecessor_work_lifetime;
+        const auto reported = shared_.reported_loads.find(target.name);
+        load.inherited.begin(reported == shared_.reported_loads.end()
                                  ? std::nullopt
-                                 : std::optional{heard->second.connections},
+                                 : std::optional{reported->second.connections},
                              now);
     }
-    // What waits is dispatched by the next tick: a hand-over restores the slots that an earlier
-    // owner may have in use, and the cold start, only after this call.
-    ask_for_report(target, now);
+    // Waiting requests are dispatched on the next tick, because a hand-over restores the slots that
+    // an earlier owner's requests may hold, and the cold-start state, only after this call.
+    request_report(target, now);
 }
 
 void target_owner::on_merged(const configuration::target& target, clock::time_point now) {
-    count_records(target, now);
+    recount_load(target, now);
 }
 
-void target_owner::count_records(const configuration::target& target, clock::time_point now) {
+void target_owner::recount_load(const configuration::target& target, clock::time_point now) {
     auto& load = shared_.loads[target.name];
     load.connections = shared_.flows.count_on(target.name);
-    count_slots(target.name);
-    // Failure: requests that a hand-over brings while they wait have left the queue of the owner
-    // before and are in no queue here; their callers would get no answer until the deadline.
+    update_slots_in_use(target.name);
+    // Requests that were waiting when the target was handed over are in no queue of this instance
+    // yet. Unless they are queued, their callers get no answer until the deadline.
     load.queue.take_all();
     for (const auto& id : shared_.requests.waiting_on(target.name)) {
         load::requeue(load, work_of(*shared_.requests.find(id), load), now);
@@ -56,8 +57,8 @@
 
 void target_owner::on_tick(clock::time_point now) {
     for (const auto& id : shared_.requests.due(now)) {
-        if (auto* subject = shared_.requests.find(id)) {
-            expire(*subject, now);
+        if (auto* record = shared_.requests.find(id)) {
+            expire(*record, now);
         }
     }
     for (const auto& [name, owned] : shared_.ownership.owned()) {
@@ -66,46 +67,47 @@
             continue;
         }
         dispatch_waiting(*target, now);
-        // A removed target without flows may be gone and its address in use by something else.
-        const bool is_gone = target->state == configuration::target_state::removed &&
-                             shared_.flows.count_on(name) == 0;
-        if (is_gone) {
+        // A removed target without flows may have stopped, and its address may be in use by another
+        // process.
+        const bool may_have_stopped = target->state == configuration::target_state::removed &&
+                                      shared_.flows.count_on(name) == 0;
+        if (may_have_stopped) {
             continue;
         }
         const auto& load = shared_.loads[name];
-        const bool is_assuming = load.assumed_slots > 0 && now < load.assumed_until;
-        const auto interval = is_assuming ? assuming_report_interval : report_interval;
+        const bool assumes_held_slots = load.assumed_slots > 0 && now < load.assumed_until;
+        const auto interval = assumes_held_slots ? takeover_report_interval : report_interval;
         if (to_milliseconds(now) % interval.count() < tick_length.count()) {
-            ask_for_report(*target, now);
+            request_report(*target, now);
         }
     }
 }
 
-void target_owner::expire(request& subject, clock::time_point now) {
-    if (subject.state == request_state::waiting) {
-        give_up(subject, result_code::deadline_too_near, clock::duration{0}, now);
+void target_owner::expire(request& record, clock::time_point now) {
+    if (record.state == request_state::waiting) {
+        reject(record, result_code::deadline_too_near, clock::duration{0}, now);
         return;
     }
-    const bool was_running = subject.holds_slot;
+    const bool was_running = record.holds_slot;
     if (was_running) {
-        free_slot(subject, load::ending::overdue, now);
+        free_slot(record, load::ending::overdue, now);
     }
-    if (subject.state == request_state::dispatched) {
-        end_request(subject,
-                    reply_to(subject.content, packet_kind::unknown, result_code::deadline_passed),
+    if (record.state == request_state::dispatched) {
+        end_request(record,
+                    reply_to(record.content, packet_kind::unknown, result_code::deadline_passed),
                     now);
         return;
     }
     if (!was_running) {
-        shared_.requests.erase(subject.id);
+        shared_.requests.erase(record.id);
     }
 }
 
-void target_owner::ask_for_report(const configuration::target& target, clock::time_point now) {
-    wire::packet question;
-    question.kind = packet_kind::report_wanted;
-    question.sequence = to_milliseconds(now);
-    shared_.out.send_target(target, std::move(question));
+void target_owner::request_report(const configuration::target& target, clock::time_point now) {
+    wire::packet report_request;
+    report_request.kind = packet_kind::report_wanted;
+    report_request.sequence = to_milliseconds(now);
+    shared_.out.send_target(target, std::move(report_request));
 }
 
 }  // namespace bramleytrack::requests
--- a/libraries/requests/work_of_request.cpp
+++ b/libraries/requests/work_of_request.cpp
@@ -8,16 +8,16 @@
     return {routing::key_of(packet), packet.request};
 }
 
-bool may_run_twice(const wire::packet& content) {
+bool is_repeatable(const wire::packet& content) {
     return content.may_repeat == wire::repetition::repeatable;
 }
 
-load::work work_of(const request& subject, const load::target_load& load) {
-    const auto& content = subject.content;
-    return {.id = subject.id,
+load::work work_of(const request& record, const load::target_load& load) {
+    const auto& content = record.content;
+    return {.id = record.id,
             .member = content.member,
-            .kind = load.how->class_of(may_run_twice(content), content.payload.size()),
-            .deadline = subject.deadline};
+            .kind = load.how->class_of(is_repeatable(content), content.payload.size()),
+            .deadline = record.deadline};
 }
 
 }  // namespace bramleytrack::requests
--- a/libraries/requests/work_of_request.h
+++ b/libraries/requests/work_of_request.h
@@ -1,4 +1,4 @@
-// How packets and records of requests are seen by the rest of the slice.
+// Conversions between packets, request records and the units of work that load decisions use.
 #pragma once
 
 #include "load/target_load.h"
@@ -13,13 +13,12 @@
 
 request_id id_of(const wire::packet& packet);
 
-bool may_run_twice(const wire::packet& content);
+bool is_repeatable(const wire::packet& content);
 
-// The request as the load decisions see it.
-load::work work_of(const request& subject, const load::target_load& load);
+load::work work_of(const request& record, const load::target_load& load);
 
-// Nothing that a dead owner dispatched runs longer than this after the takeover.
-constexpr clock::duration inherited_lifetime =
+// No request that a failed owner dispatched runs longer than this after the takeover.
+constexpr clock::duration max_predecessor_work_lifetime =
     records::max_request_lifetime + records::deadline_grace;
 
 }  // namespace bramleytrack::requests
