--- a/tests/flows_properties_test.cpp
+++ b/tests/flows_properties_test.cpp
@@ -216,7 +216,7 @@
         }
         for (const auto& [name, zone] : zone_of_) {
             for (int flow = 1; flow <= last_flow_; ++flow) {
-                if (!session_.target(name).knows(flow)) {
+                if (!session_.target(name).has_flow(flow)) {
                     continue;
                 }
                 RC_ASSERT(name.starts_with(flow % 2 == 0 ? "board" : "plan"));
--- a/tests/load_cold_start_test.cpp
+++ b/tests/load_cold_start_test.cpp
@@ -73,12 +73,12 @@
     for (const std::int64_t flow : {1, 2, 3}) {
         auto accepted = *owner.last_to_target(wire::packet_kind::open);
         accepted.flow = flow;
-        owner.target_says(wire::packet_kind::open_accepted, accepted);
+        owner.reply_from_target(wire::packet_kind::open_accepted, accepted);
     }
     for (const std::int64_t flow : {1, 2}) {
         auto reset = *owner.last_to_target(wire::packet_kind::open);
         reset.flow = flow;
-        owner.target_says(wire::packet_kind::reset, reset);
+        owner.reply_from_target(wire::packet_kind::reset, reset);
     }
     owner.once(3, 1);
     owner.once(3, 2);
@@ -114,7 +114,7 @@
     for (int flow = 201; flow <= 230; ++flow) {
         session.run("open flow=" + std::to_string(flow) + " via=" + other);
     }
-    EXPECT_EQ(session.target("board-1").most_flows(), 20);
+    EXPECT_EQ(session.target("board-1").max_flows(), 20);
 }
 
 // The report after a takeover lags: it doesn't show flows that the successor has opened since, and
--- a/tests/ownership_property_test.cpp
+++ b/tests/ownership_property_test.cpp
@@ -222,7 +222,7 @@
         for (std::int64_t flow = 0; flow < 16; ++flow) {
             const auto key = routing::key_of("10.0.0.1:443", "caller", flow);
             const auto* known = flows.find(key);
-            RC_ASSERT(!zone.target(target).knows(flow) ||
+            RC_ASSERT(!zone.target(target).has_flow(flow) ||
                       (known != nullptr && known->record.target == target));
         }
     }
--- a/tests/requests_property_test.cpp
+++ b/tests/requests_property_test.cpp
@@ -1,7 +1,7 @@
-// Random orders of events around the requests of one zone: copies through any instance, answers,
-// sheds, cancellations, closes, deadlines, hand-overs, kills, restarts and pauses. After every step
-// the promises about requests are checked. RC_PARAMS="seed=N" replays other seeds; a failure prints
-// the shortest steps that show it and RC_PARAMS for them.
+// Random sequences of events on the requests of one zone: copies through any instance, answers,
+// sheds, cancellations, closes, deadlines, hand-overs, kills, restarts and pauses. After each step
+// the guarantees for requests are checked. RC_PARAMS="seed=N" selects another seed; a failure
+// prints the minimal sequence of steps and the RC_PARAMS that reproduce it.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -22,17 +22,17 @@
 constexpr int slots = 2;
 constexpr std::array instances{"a", "b", "c"};
 constexpr std::array targets{"board-1", "board-2"};
-// Callers stop asking for an outcome after this time; see records::max_request_lifetime.
-constexpr clock::duration copies_end{9'000};
+// Callers stop retransmitting a request after this time; see records::max_request_lifetime.
+constexpr clock::duration retransmission_period{9'000};
 
 constexpr clock::duration reuse_after = records::max_request_lifetime + clock::duration{1'000};
 
-using step = std::tuple<int, int, int>;  // what, and two choices
+using step = std::tuple<int, int, int>;  // kind of the event and its two parameters
 
-// Plays steps, and knows what callers have asked.
-class requests_world {
+// Runs steps on a simulated zone and tracks the requests of callers.
+class requests_simulation {
 public:
-    requests_world() {
+    requests_simulation() {
         for (const auto* line :
              {"zone north", "service board 10.0.0.1:443",
               "target board-1 north board slots=2 connections=10",
@@ -43,15 +43,18 @@
         }
     }
 
-    void play(const step& wanted) {
-        static constexpr std::array table{
-            &requests_world::ask,     &requests_world::ask,    &requests_world::copy,
-            &requests_world::copy,    &requests_world::answer, &requests_world::answer,
-            &requests_world::shed,    &requests_world::cancel, &requests_world::advance,
-            &requests_world::advance, &requests_world::open,   &requests_world::close,
-            &requests_world::stop,    &requests_world::start,  &requests_world::pause};
-        const auto [what, first, second] = wanted;
-        (this->*table.at(static_cast<std::size_t>(what) % table.size()))(first, second);
+    void run(const step& next) {
+        static constexpr std::array handlers{
+            &requests_simulation::send_new, &requests_simulation::send_new,
+            &requests_simulation::copy,     &requests_simulation::copy,
+            &requests_simulation::answer,   &requests_simulation::answer,
+            &requests_simulation::shed,     &requests_simulation::cancel,
+            &requests_simulation::advance,  &requests_simulation::advance,
+            &requests_simulation::open,     &requests_simulation::close,
+            &requests_simulation::stop,     &requests_simulation::start,
+            &requests_simulation::pause};
+        const auto [kind, first, second] = next;
+        (this->*handlers.at(static_cast<std::size_t>(kind) % handlers.size()))(first, second);
         for (const auto& line : session_.take_transcript()) {
             RC_LOG() << line << "\n";
         }
@@ -64,11 +67,11 @@
     }
 
 private:
-    struct question {
+    struct sent_request {
         int flow = 0;
         std::int64_t number = 0;
-        bool is_once = false;
-        clock::time_point asked;
+        bool is_at_most_once = false;
+        clock::time_point sent_at;
         clock::time_point deadline;
     };
     enum class health { running, paused, dead };
@@ -78,16 +81,16 @@
         return std::string{" via="} + instances.at(static_cast<std::size_t>(choice) % 3);
     }
 
-    void ask(int first, int second) {
+    void send_new(int first, int second) {
         static constexpr std::array<int, 4> deadlines{300, 1500, 3000, 8000};
-        question added;
+        sent_request added;
         added.flow = first % 3 + 1;
-        added.number = static_cast<std::int64_t>(questions_.size()) + 1;
-        added.is_once = second % 4 != 0;
-        added.asked = session_.now();
+        added.number = static_cast<std::int64_t>(sent_requests_.size()) + 1;
+        added.is_at_most_once = second % 4 != 0;
+        added.sent_at = session_.now();
         added.deadline =
-            added.asked + clock::duration{deadlines.at(static_cast<std::size_t>(second) % 4)};
-        questions_.push_back(added);
+            added.sent_at + clock::duration{deadlines.at(static_cast<std::size_t>(second) % 4)};
+        sent_requests_.push_back(added);
         send("request", added, second);
     }
 
@@ -103,22 +106,22 @@
         }
     }
 
-    void send(const std::string& verb, const question& subject, int entry) {
-        const auto left = (subject.deadline - session_.now()).count();
-        session_.run(verb + " flow=" + std::to_string(subject.flow) + via(entry) +
-                     " request=" + std::to_string(subject.number) +
-                     (subject.is_once ? " once=1" : "") + " deadline=" + std::to_string(left));
+    void send(const std::string& verb, const sent_request& request, int entry) {
+        const auto remaining = (request.deadline - session_.now()).count();
+        session_.run(verb + " flow=" + std::to_string(request.flow) + via(entry) + " request=" +
+                     std::to_string(request.number) + (request.is_at_most_once ? " once=1" : "") +
+                     " deadline=" + std::to_string(remaining));
     }
 
     // One of the latest questions whose caller still asks.
-    const question* recent(int choice) const {
-        if (questions_.empty()) {
+    const sent_request* recent(int choice) const {
+        if (sent_requests_.empty()) {
             return nullptr;
         }
         const auto back =
-            static_cast<std::size_t>(choice) % std::min<std::size_t>(questions_.size(), 6);
-        const auto& chosen = questions_[questions_.size() - 1 - back];
-        return session_.now() - chosen.asked < copies_end ? &chosen : nullptr;
+            static_cast<std::size_t>(choice) % std::min<std::size_t>(sent_requests_.size(), 6);
+        const auto& chosen = sent_requests_[sent_requests_.size() - 1 - back];
+        return session_.now() - chosen.sent_at < retransmission_period ? &chosen : nullptr;
     }
 
     void answer(int first, int /*second*/) { end("answer", first); }
@@ -135,7 +138,8 @@
         session_.run("advance " +
                      std::to_string(times.at(static_cast<std::size_t>(first) % times.size())));
     }
-    // As a TCP port waits in TIME_WAIT, a flow number waits until no copy of its requests is left.
+    // A flow number is reused only when no copy of its requests can be in flight, like a TCP port
+    // in TIME_WAIT.
     void open(int first, int second) {
         const auto closed = closed_.find(flow_of(first));
         if (closed == closed_.end() || session_.now() - closed->second >= reuse_after) {
@@ -154,7 +158,7 @@
     void stop(int first, int second) {
         const auto* const name = instances.at(static_cast<std::size_t>(first) % 3);
         auto& state = health_[name];
-        if (state != health::running || others_running(name) == 0) {
+        if (state != health::running || count_other_running(name) == 0) {
             return;
         }
         if (second % 2 == 0) {
@@ -179,14 +183,14 @@
 
     void pause(int first, int /*second*/) {
         const auto* const name = instances.at(static_cast<std::size_t>(first) % 3);
-        if (health_[name] == health::running && others_running(name) > 0) {
+        if (health_[name] == health::running && count_other_running(name) > 0) {
             session_.run(std::string{"pause "} + name);
             are_records_lost_ = true;
             health_[name] = health::paused;
         }
     }
 
-    int others_running(const std::string& name) {
+    int count_other_running(const std::string& name) {
         int result = 0;
         for (const auto* each : instances) {
             result += each != name && health_[each] == health::running ? 1 : 0;
@@ -194,19 +198,19 @@
         return result;
     }
 
-    int runs_of(const question& subject) {
+    int runs_of(const sent_request& request) {
         int result = 0;
         for (const auto* name : targets) {
             const auto& runs = session_.target(name).runs();
-            const auto found = runs.find({subject.flow, subject.number});
+            const auto found = runs.find({request.flow, request.number});
             result += found == runs.end() ? 0 : found->second;
         }
         return result;
     }
 
     void check_runs() {
-        for (const auto& each : questions_) {
-            if (each.is_once) {
+        for (const auto& each : sent_requests_) {
+            if (each.is_at_most_once) {
                 RC_ASSERT(runs_of(each) <= 1);
             }
         }
@@ -214,8 +218,8 @@
 
     void check_outcomes() {
         const auto& packets = session_.caller_packets();
-        for (; seen_packets_ < packets.size(); ++seen_packets_) {
-            const auto& packet = packets[seen_packets_];
+        for (; checked_packets_ < packets.size(); ++checked_packets_) {
+            const auto& packet = packets[checked_packets_];
             const bool is_outcome = packet.kind == packet_kind::answer ||
                                     packet.kind == packet_kind::refused ||
                                     packet.kind == packet_kind::unknown;
@@ -226,16 +230,17 @@
             const bool is_first = last == packet_kind{};
             const bool is_late_answer =
                 last == packet_kind::unknown && packet.kind == packet_kind::answer;
-            // A successor has no record of what its dead or paused predecessor said, and a home
-            // none of a flow that was closed. "Unknown" is honest then, before and after.
-            const bool is_in_doubt = are_records_lost_ && (packet.kind == packet_kind::unknown ||
-                                                           last == packet_kind::unknown);
-            RC_ASSERT(is_first || is_late_answer || is_in_doubt || last == packet.kind);
+            // A successor has no record of the outcomes that its failed or paused predecessor sent,
+            // and a home has none of a closed flow. "Unknown" is then allowed before and after
+            // another outcome.
+            const bool may_be_unknown = are_records_lost_ && (packet.kind == packet_kind::unknown ||
+                                                              last == packet_kind::unknown);
+            RC_ASSERT(is_first || is_late_answer || may_be_unknown || last == packet.kind);
             if (is_first || packet.kind != packet_kind::unknown) {
                 last = packet.kind;
             }
         }
-        for (const auto& each : questions_) {
+        for (const auto& each : sent_requests_) {
             const auto found = outcomes_.find(each.number);
             if (found != outcomes_.end() && found->second == packet_kind::refused) {
                 RC_ASSERT(runs_of(each) == 0);
@@ -245,7 +250,7 @@
 
     void check_slots() {
         for (const auto* name : targets) {
-            RC_ASSERT(session_.target(name).most_running() <= static_cast<std::size_t>(slots));
+            RC_ASSERT(session_.target(name).max_running() <= static_cast<std::size_t>(slots));
         }
         for (const auto* name : instances) {
             if (health_[name] == health::dead) {
@@ -266,24 +271,24 @@
     }
 
     session session_;
-    std::vector<question> questions_;
+    std::vector<sent_request> sent_requests_;
     std::map<std::int64_t, packet_kind> outcomes_;
     std::map<std::string, health> health_;
     std::map<std::string, clock::time_point> closed_;  // last close of each flow
-    std::size_t seen_packets_ = 0;
+    std::size_t checked_packets_ = 0;
     bool are_records_lost_ = false;
 };
 
-RC_GTEST_PROP(requests_property, promises_hold_in_any_order, ()) {
+RC_GTEST_PROP(requests_property, guarantees_hold_in_any_order_of_events, ()) {
     const auto choice = rc::gen::inRange(0, 60);
-    // Long from the first case on: what goes wrong takes a kill, a copy and some time between them.
+    // All cases are long, because failures take a kill, a copy and some time between them.
     constexpr int max_steps = 250;
     const auto steps = *rc::gen::resize(
         max_steps, rc::gen::container<std::vector<step>>(rc::gen::tuple(choice, choice, choice)));
-    requests_world world;
+    requests_simulation simulation;
     for (const auto& each : steps) {
-        world.play(each);
-        world.check();
+        simulation.run(each);
+        simulation.check();
     }
 }
 
--- a/tests/support/fake_target.cpp
+++ b/tests/support/fake_target.cpp
@@ -7,7 +7,7 @@
 
 using wire::packet_kind;
 
-wire::packet answer_to(const wire::packet& packet, packet_kind kind) {
+wire::packet make_reply(const wire::packet& packet, packet_kind kind) {
     auto result = packet;
     result.kind = kind;
     return result;
@@ -31,21 +31,21 @@
     }
     if (packet.kind == packet_kind::open) {
         auto& opened = flows_[packet.flow];
-        opened.opened_by = packet;
+        opened.opening = packet;
         opened.instance = instance;
-        most_flows_ = std::max(most_flows_, flows_.size());
-        return reply{instance, answer_to(packet, packet_kind::open_accepted)};
+        max_flows_ = std::max(max_flows_, flows_.size());
+        return reply{instance, make_reply(packet, packet_kind::open_accepted)};
     }
     const auto found = flows_.find(packet.flow);
     if (found == flows_.end()) {
-        return reply{instance, answer_to(packet, packet_kind::reset)};
+        return reply{instance, make_reply(packet, packet_kind::reset)};
     }
     found->second.instance = instance;
-    const bool is_in_time = to_time_point(packet.deadline) > now_;
-    if (packet.kind == packet_kind::request && is_in_time) {
+    const bool is_before_deadline = to_time_point(packet.deadline) > now_;
+    if (packet.kind == packet_kind::request && is_before_deadline) {
         ++runs_[{packet.flow, packet.request}];
         running_[{packet.flow, packet.request}] = packet;
-        most_running_ = std::max(most_running_, running_.size());
+        max_running_ = std::max(max_running_, running_.size());
     }
     if (packet.kind == packet_kind::close) {
         flows_.erase(found);
@@ -60,7 +60,7 @@
     if (found == running_.end() || opened == flows_.end()) {
         return std::nullopt;
     }
-    auto content = answer_to(found->second, kind);
+    auto content = make_reply(found->second, kind);
     if (kind == packet_kind::shed) {
         --runs_[found->first];
     }
@@ -73,7 +73,7 @@
     if (opened == flows_.end()) {
         return std::nullopt;
     }
-    auto content = answer_to(opened->second.opened_by, packet_kind::push);
+    auto content = make_reply(opened->second.opening, packet_kind::push);
     content.sequence = ++opened->second.pushed;
     return reply{opened->second.instance, std::move(content)};
 }
--- a/tests/support/flow_fleet.cpp
+++ b/tests/support/flow_fleet.cpp
@@ -54,7 +54,7 @@
 std::vector<std::string> flow_fleet::places_of(int flow) {
     std::vector<std::string> result;
     std::ranges::copy_if(targets_, std::back_inserter(result), [&](const std::string& name) {
-        return session_.target(name).knows(flow);
+        return session_.target(name).has_flow(flow);
     });
     return result;
 }
@@ -81,7 +81,7 @@
             const auto found = line.find(start);
             if (found != std::string::npos) {
                 const int flow = std::stoi(line.substr(found + start.size()));
-                count += session_.target(target).knows(flow) ? 1 : 0;
+                count += session_.target(target).has_flow(flow) ? 1 : 0;
             }
         }
     }
--- a/tests/support/single_owner.cpp
+++ b/tests/support/single_owner.cpp
@@ -7,7 +7,7 @@
 
 using wire::packet_kind;
 
-std::string text_with(int slots) {
+std::string configuration_with(int slots) {
     return R"({"zones":[{"name":"north","state":"in"}],
         "services":[{"name":"board","address":"10.0.0.1:443","depends_on":[]}],
         "targets":[{"name":"board-1","zone":"north","service":"board","address":"10.0.1.1:8443",
@@ -25,11 +25,11 @@
 single_owner::single_owner(int slots)
     : core_{identity{
           .name = "a", .zone = "north", .peer_address = "a", .incarnation = 1, .started = now_}} {
-    core_.on_configuration(text_with(slots), 1, now_);
+    core_.on_configuration(configuration_with(slots), 1, now_);
     advance(2000);
 }
 
-void single_owner::outlast_doubt() {
+void single_owner::advance_past_takeover() {
     advance(11'000);
 }
 
@@ -70,24 +70,24 @@
     collect();
 }
 
-void single_owner::target_says(packet_kind kind, const wire::packet& subject) {
-    auto packet = subject;
-    packet.kind = kind;
-    packet.payload = kind == packet_kind::answer ? "done" : "";
-    from_target(packet);
+void single_owner::reply_from_target(packet_kind kind, const wire::packet& packet) {
+    auto reply = packet;
+    reply.kind = kind;
+    reply.payload = kind == packet_kind::answer ? "done" : "";
+    send_from_target(reply);
 }
 
-void single_owner::report(int slots_in_use, clock::time_point asked) {
+void single_owner::report(int slots_in_use, clock::time_point requested_at) {
     wire::packet packet;
     packet.kind = packet_kind::report;
-    packet.sequence = to_milliseconds(asked);
+    packet.sequence = to_milliseconds(requested_at);
     wire::target_report content;
     content.slots_in_use = slots_in_use;
     packet.__set_report_of_target(content);
-    from_target(packet);
+    send_from_target(packet);
 }
 
-void single_owner::from_target(const wire::packet& content) {
+void single_owner::send_from_target(const wire::packet& content) {
     core_.on_target_packet("10.0.1.1:8443", content, now_);
     collect();
 }
@@ -134,18 +134,18 @@
                 to_caller_.push_back(std::move(to_caller->content));
             } else if (const auto* to_target = std::get_if<send_to_target>(&each)) {
                 to_target_.push_back(to_target->content);
-                reply_at_once(to_target->content);
+                reply_immediately(to_target->content);
             }
         }
     }
 }
 
-void single_owner::reply_at_once(const wire::packet& sent) {
+void single_owner::reply_immediately(const wire::packet& sent) {
     auto reply = sent;
     if (sent.kind == packet_kind::open) {
-        at_target_.insert(sent.flow);
+        flows_at_target_.insert(sent.flow);
         reply.kind = packet_kind::open_accepted;
-    } else if (sent.kind == packet_kind::acknowledge && !at_target_.contains(sent.flow)) {
+    } else if (sent.kind == packet_kind::acknowledge && !flows_at_target_.contains(sent.flow)) {
         reply.kind = packet_kind::reset;
     } else {
         return;
--- a/tests/support/single_owner.h
+++ b/tests/support/single_owner.h
@@ -1,5 +1,5 @@
-// One instance that owns one target, with nothing in between: tests say what callers and the target
-// send, and see what the owner sends.
+// One instance that owns one target, without a network in between. Tests send packets on behalf of
+// callers and the target, and inspect the packets that the owner sends.
 #pragma once
 
 #include <optional>
@@ -15,14 +15,14 @@
 public:
     explicit single_owner(int slots = 2);
 
-    // Past the time in which an owner before this one may have left requests behind.
-    void outlast_doubt();
+    // Advances past the time in which requests of an earlier owner may still be running.
+    void advance_past_takeover();
     void advance(std::int64_t milliseconds);
-    // The process stands still and then handles its next event without a tick in between.
-    void stand_still(std::int64_t milliseconds) { now_ += clock::duration{milliseconds}; }
+    // Pauses the process: the next event is handled without a tick in between.
+    void pause(std::int64_t milliseconds) { now_ += clock::duration{milliseconds}; }
 
-    // The target has this flow from the time of an owner before this one.
-    void inherit(std::int64_t flow) { at_target_.insert(flow); }
+    // Makes the target hold a flow that an earlier owner opened.
+    void add_flow_at_target(std::int64_t flow) { flows_at_target_.insert(flow); }
     void open(std::int64_t flow);
     void close(std::int64_t flow);
     void request(std::int64_t flow, std::int64_t number, wire::repetition may_repeat,
@@ -31,15 +31,15 @@
         request(flow, number, wire::repetition::at_most_once, "work", deadline_ms);
     }
     void cancel(std::int64_t flow, std::int64_t number);
-    // The target says something about `subject`, a packet that it was sent.
-    void target_says(wire::packet_kind kind, const wire::packet& subject);
-    void report(int slots_in_use, clock::time_point asked);
-    void from_target(const wire::packet& content);
+    // Sends a reply of the target to `packet`, which it has received.
+    void reply_from_target(wire::packet_kind kind, const wire::packet& packet);
+    void report(int slots_in_use, clock::time_point requested_at);
+    void send_from_target(const wire::packet& content);
 
-    // The latest packet of this kind that the target was sent.
+    // The last packet of this kind that was sent to the target.
     std::optional<wire::packet> last_to_target(wire::packet_kind kind) const;
     int dispatches(std::int64_t flow, std::int64_t number) const;
-    // All final outcomes that the caller got for this request, in order.
+    // All outcomes that the caller received for this request, in order.
     std::vector<wire::packet_kind> outcomes(std::int64_t flow, std::int64_t number) const;
     const std::vector<wire::packet>& to_caller() const { return to_caller_; }
 
@@ -51,20 +51,20 @@
 private:
     wire::packet packet_of(wire::packet_kind kind, std::int64_t flow) const;
     void collect();
-    void reply_at_once(const wire::packet& sent);
+    void reply_immediately(const wire::packet& sent);
 
     clock::time_point now_ = to_time_point(1'000'000);
     instance core_;
     std::vector<wire::packet> to_caller_;
     std::vector<wire::packet> to_target_;
-    std::set<std::int64_t> at_target_;  // flows that the target knows; it resets others
+    std::set<std::int64_t> flows_at_target_;  // the target resets packets of other flows
 };
 
-// With flow 1 open and nothing left of an owner before it.
+// An owner with flow 1 open and no running requests of an earlier owner.
 class owner_with_open_flow : public single_owner {
 public:
     explicit owner_with_open_flow(int slots = 2) : single_owner{slots} {
-        outlast_doubt();
+        advance_past_takeover();
         open(1);
     }
 };
