--- a/tests/ownership_failures_test.cpp
+++ b/tests/ownership_failures_test.cpp
@@ -1,4 +1,4 @@
-// Failures in which two instances could own one target, or a move could lose its records.
+// Failures that could make two instances own one target, or make a hand-over lose records.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
@@ -22,19 +22,20 @@
         zone_.open(1, first_);
     }
 
-    // `second` comes and wins the rendezvous: the target moves to it unless the test stops that.
-    void join() { zone_.start(second_); }
+    // Starts `second`, which wins the rendezvous hashing, so that the target is handed over to it
+    // unless the test prevents that.
+    void start_second() { zone_.start(second_); }
 
     zone_of_cores zone_{{"t"}};
     std::string second_ = zone_of_cores::winner({"a", "b"}, "t");
     std::string first_ = second_ == "a" ? "b" : "a";
 };
 
-// A lodgement is billed twice. Its owner is paused, another instance takes the target over, and a
-// copy of the request waits in the socket of the paused one. It wakes up and handles the datagram
-// before its first tick.
-TEST_F(ownership_failures, woken_owner_handles_a_datagram_before_its_tick) {
-    join();
+// An owner is paused and another instance takes the target over, while a copy of a request waits in
+// the socket of the paused one. After it resumes, it handles the datagram before its first tick and
+// must not run the request a second time.
+TEST_F(ownership_failures, resumed_owner_handles_a_datagram_before_its_tick) {
+    start_second();
     zone_.advance(3s);
     ASSERT_THAT(zone_.owners("t"), ElementsAre(second_));
     zone_.pause(second_);
@@ -42,13 +43,13 @@
     ASSERT_THAT(zone_.owners("t"), ElementsAre(first_));
     zone_.resume(second_);
     zone_.request(1, 7, second_);
-    EXPECT_EQ(0, zone_.most_runs());
+    EXPECT_EQ(0, zone_.max_runs());
     EXPECT_THAT(zone_.owners("t"), ElementsAre(first_));
 }
 
-// The same instance is paused twice, the second time while it is listening anew.
+// The same instance is paused twice, the second time while it waits for the claims of its peers.
 TEST_F(ownership_failures, owner_paused_twice) {
-    join();
+    start_second();
     zone_.advance(3s);
     for (int round = 0; round < 2; ++round) {
         zone_.pause(second_);
@@ -60,14 +61,15 @@
     }
     zone_.advance(4s);
     EXPECT_THAT(zone_.owners("t"), ElementsAre(second_));
-    EXPECT_LE(zone_.most_runs(), 1);
+    EXPECT_LE(zone_.max_runs(), 1);
 }
 
-// A caller's packets vanish during a planned change. The old owner has let the target go, the new
-// one's first heartbeat is lost, and for half a second no instance claims the target.
+// During a planned hand-over the old owner has released the target and the new owner's first
+// heartbeat is lost, so for half a second no instance claims the target. Packets must not be
+// dropped meanwhile.
 TEST_F(ownership_failures, packets_reach_the_new_owner_before_its_first_claim) {
-    join();
-    zone_.lose([&](const auto& sent) {
+    start_second();
+    zone_.set_loss_filter([&](const auto& sent) {
         return sent.sender == second_ && sent.content.__isset.beat &&
                !sent.content.beat.owned.empty();
     });
@@ -75,16 +77,16 @@
     ASSERT_THAT(zone_.owners("t"), ElementsAre(second_));
     zone_.request(1, 7, first_);
     zone_.deliver_all();
-    EXPECT_EQ(1, zone_.most_runs());
+    EXPECT_EQ(1, zone_.max_runs());
 }
 
-// A request that was waiting for a slot when its target moved is neither run nor answered.
+// A request that waits for a slot while its target is handed over must be run by the new owner.
 TEST_F(ownership_failures, waiting_request_is_dispatched_by_the_new_owner) {
     for (std::int64_t number = 1; number <= 3; ++number) {
         zone_.request(1, number, first_);
     }
     ASSERT_EQ(2U, zone_.target("t").running());
-    join();
+    start_second();
     zone_.advance(3s);
     zone_.answer(1, 1);
     zone_.advance(200ms);
@@ -92,11 +94,11 @@
     EXPECT_EQ(1, zone_.outcomes(1, 1, packet_kind::answer));
 }
 
-// An inspector gets "outcome unknown" after a planned change although the target answered. The
-// target answers the instance that sent it the request, which has handed the target over.
+// The target answers the instance that dispatched the request, which has handed the target over
+// since. The caller must get the answer rather than "outcome unknown".
 TEST_F(ownership_failures, answer_to_the_former_owner_ends_the_request) {
     zone_.request(1, 7, first_);
-    join();
+    start_second();
     zone_.advance(3s);
     ASSERT_THAT(zone_.owners("t"), ElementsAre(second_));
     zone_.answer(1, 7);
@@ -105,48 +107,48 @@
     EXPECT_EQ(0, zone_.outcomes(1, 7, packet_kind::unknown));
 }
 
-// Streams break because the receiver of a hand-over is killed before it has all parts: the sender
-// has erased the records, and its repetitions go to nobody.
-TEST_F(ownership_failures, receiver_dies_during_the_hand_over) {
-    join();
-    zone_.lose([](const auto& sent) { return sent.content.__isset.handed_over; });
+// The receiver of a hand-over is killed before it has received all parts. If the sender had erased
+// the records, its flows would break, and its retransmissions would reach no instance.
+TEST_F(ownership_failures, receiver_fails_during_the_hand_over) {
+    start_second();
+    zone_.set_loss_filter([](const auto& sent) { return sent.content.__isset.handed_over; });
     zone_.advance(2'300ms);
     zone_.kill(second_);
-    zone_.lose({});
+    zone_.set_loss_filter({});
     zone_.advance(3s);
     ASSERT_THAT(zone_.owners("t"), ElementsAre(first_));
     EXPECT_EQ(1U, zone_.core(first_).state().flows.size());
     zone_.request(1, 7, first_);
-    EXPECT_EQ(0, zone_.most_runs()) << "the receiver could have run it";
+    EXPECT_EQ(0, zone_.max_runs()) << "the receiver could have run it";
 }
 
-// As before, but the receiver is restarted under its name within a second: it acknowledged a part
-// in its earlier life, has forgotten it, and the hand-over would never end.
+// As above, but the receiver is restarted under its name within a second. It acknowledged a part in
+// its earlier incarnation and has lost it, so the hand-over would never complete.
 TEST_F(ownership_failures, receiver_restarts_during_the_hand_over) {
     for (std::int64_t flow = 2; flow <= 400; ++flow) {
         zone_.open(flow, first_);
     }
-    join();
-    zone_.lose([](const auto& sent) {
+    start_second();
+    zone_.set_loss_filter([](const auto& sent) {
         return sent.content.__isset.handed_over && sent.content.handed_over.part == 1;
     });
     zone_.advance(2'300ms);
-    zone_.lose({});
+    zone_.set_loss_filter({});
     zone_.kill(second_);
     zone_.advance(500ms);
-    join();
+    start_second();
     zone_.advance(6s);
     EXPECT_THAT(zone_.owners("t"), ElementsAre(second_));
     EXPECT_EQ(400U, zone_.core(second_).state().flows.size());
 }
 
-// The owner is paused while it hands over and its successor has only some of the records. It wakes
-// up, and the rest of the parts and the acknowledgements cross.
+// The owner is paused during a hand-over, when its successor has received only some of the records.
+// After it resumes, the remaining parts and the acknowledgements cross.
 TEST_F(ownership_failures, owner_paused_during_the_hand_over) {
-    join();
-    zone_.lose([](const auto& sent) { return sent.content.__isset.handed_over; });
+    start_second();
+    zone_.set_loss_filter([](const auto& sent) { return sent.content.__isset.handed_over; });
     zone_.advance(2'200ms);
-    zone_.lose({});
+    zone_.set_loss_filter({});
     zone_.pause(first_);
     zone_.advance(3s);
     EXPECT_THAT(zone_.owners("t"), ElementsAre(second_));
@@ -157,62 +159,61 @@
     EXPECT_THAT(zone_.owners("t"), ElementsAre(second_));
 }
 
-// A lodgement is billed twice. One instance can hear the other but isn't heard by it: it is
-// declared dead and succeeded while it goes on dispatching.
-TEST_F(ownership_failures, owner_that_is_not_heard_stops_before_its_successor_starts) {
-    join();
+// One instance receives the messages of the other, but its own are lost. It is declared dead and a
+// successor takes over; if it kept dispatching, requests would run twice.
+TEST_F(ownership_failures, owner_whose_messages_are_lost_stops_before_its_successor_starts) {
+    start_second();
     zone_.advance(3s);
-    zone_.lose([&](const auto& sent) { return sent.sender == second_; });
+    zone_.set_loss_filter([&](const auto& sent) { return sent.sender == second_; });
     for (int step = 0; step < 80; ++step) {
         zone_.advance(100ms);
         EXPECT_THAT(zone_.owners("t"), SizeIs(::testing::Le(1U)));
     }
     EXPECT_THAT(zone_.owners("t"), ElementsAre(first_));
-    zone_.lose({});
+    zone_.set_loss_filter({});
     zone_.advance(3s);
     EXPECT_THAT(zone_.owners("t"), ElementsAre(second_));
 }
 
-// Both instances claim one target after a cut in both directions. When it is mended, one of them
-// yields and the other learns the flows that only the first had opened.
-TEST_F(ownership_failures, double_claim_is_settled_and_records_are_merged) {
-    join();
+// Both instances claim one target after a network partition. When it ends, one of them gives the
+// target up and the other receives the records of the flows that only the first had opened.
+TEST_F(ownership_failures, conflicting_claims_are_resolved_and_records_are_merged) {
+    start_second();
     zone_.advance(3s);
-    zone_.lose([](const auto&) { return true; });
+    zone_.set_loss_filter([](const auto&) { return true; });
     zone_.advance(4s);
     zone_.open(2, first_);
     zone_.open(3, second_);
-    zone_.lose({});
+    zone_.set_loss_filter({});
     zone_.advance(4s);
     ASSERT_THAT(zone_.owners("t"), ElementsAre(second_));
     EXPECT_EQ(3U, zone_.core(second_).state().flows.size());
     EXPECT_EQ(3, zone_.core(second_).state().loads.at("t").connections);
 }
 
-// A heartbeat from before a hand-over overtakes nothing: it arrives late and must not bring the old
-// claim back.
+// A heartbeat from before a hand-over arrives late and must not restore the old claim.
 TEST_F(ownership_failures, reordered_heartbeat_is_ignored) {
     std::vector<zone_of_cores::delivery> late;
-    join();
-    zone_.lose([&](const auto& sent) {
-        const bool is_old =
+    start_second();
+    zone_.set_loss_filter([&](const auto& sent) {
+        const bool is_old_claim =
             sent.sender == first_ && sent.content.__isset.beat && !sent.content.beat.owned.empty();
-        if (is_old) {
+        if (is_old_claim) {
             late.push_back(sent);
         }
         return false;
     });
     zone_.advance(3s);
     ASSERT_FALSE(late.empty());
-    auto core = zone_.core(second_).state().peers;
-    EXPECT_FALSE(core.accept_message(late.front().content, zone_.now()));
-    EXPECT_EQ(nullptr, core.claim_of("t", zone_.now()).claimant);
+    auto peers = zone_.core(second_).state().peers;
+    EXPECT_FALSE(peers.accept_message(late.front().content, zone_.now()));
+    EXPECT_EQ(nullptr, peers.claim_of("t", zone_.now()).claimant);
 }
 
-// An instance restarts on a host whose clock was set back. Its incarnation is lower than that of
-// its earlier life, peers ignore it for ever, and its targets stay without an owner.
+// An instance restarts on a host whose clock was set back, so its incarnation is lower than before.
+// If peers ignored it forever, its targets would have no owner.
 TEST_F(ownership_failures, restart_with_a_clock_that_was_set_back) {
-    join();
+    start_second();
     zone_.advance(3s);
     zone_.kill(second_);
     zone_.advance(3s);
@@ -223,8 +224,9 @@
     EXPECT_EQ(1U, zone_.core(second_).state().flows.size());
 }
 
-// A target is lost to a move whose sender has a slower clock than the one that moved it before:
-// the receiver takes the transfer for an old one, yet acknowledges it.
+// A target is handed over by an instance whose clock is behind that of the instance that handed it
+// over before. If the receiver took the transfer for an outdated one but acknowledged it, the
+// target would be lost.
 TEST_F(ownership_failures, hand_overs_from_instances_with_different_clocks) {
     zone_.start(second_);
     zone_.advance(3s);
@@ -240,8 +242,8 @@
     EXPECT_THAT(zone_.owners("t"), ElementsAre(second_));
 }
 
-// Operators remove a target whose boards are still open, and each of its crews loses the board. The
-// owner has to stay, with its records, for the flows that the target has; new flows go elsewhere.
+// Operators remove a target that still has open flows. Its owner must remain and keep their
+// records, or all of these flows break; new flows are placed on other targets.
 TEST_F(ownership_failures, removed_target_keeps_its_owner_and_its_flows) {
     zone_of_cores zone{{"t", "u"}};
     zone.start("a");
@@ -263,22 +265,23 @@
     EXPECT_EQ(zone.target("u").flows(), 40 - flows);
 }
 
-// A lodgement is billed twice. Its owner dies, the successor hands the target over in a planned
-// change seconds later, and the receiver trusts the flows, though the dead owner's work still runs.
-TEST_F(ownership_failures, takeover_fence_moves_along_with_the_target) {
+// An owner fails, and seconds later its successor hands the target over as planned. If the receiver
+// treated the flows as completely known while requests of the failed owner still run, a request
+// could run twice.
+TEST_F(ownership_failures, takeover_fence_is_handed_over_with_the_target) {
     zone_.kill(first_);
     zone_.start(first_);
     zone_.advance(3s);
     const auto fence = zone_.core(first_).state().ownership.find("t")->fence_until;
-    join();
+    start_second();
     zone_.advance(3s);
     ASSERT_THAT(zone_.owners("t"), ElementsAre(second_));
     const auto* owned = zone_.core(second_).state().ownership.find("t");
     EXPECT_EQ(fence, owned->fence_until);
 }
 
-// Operators restart all instances of a zone, one after the other, while crews watch their boards.
-// Each leaves in a planned way and comes back fresh; a flow that any of them forgot would break.
+// All instances of a zone are restarted one after the other while flows are open. Each leaves as
+// planned and restarts without state; a flow whose record was lost would break.
 TEST(rolling_restart, loses_no_flow_and_no_request) {
     const std::vector<std::string> names{"a", "b", "c"};
     zone_of_cores zone{{"t", "u"}};
@@ -306,19 +309,19 @@
         ASSERT_TRUE(zone.is_dead(name));
         zone.start(name);
         zone.advance(4s);
-        std::size_t known = 0;
+        std::size_t recorded = 0;
         for (const std::string target : {"t", "u"}) {
             ASSERT_THAT(zone.owners(target), SizeIs(1));
             const auto& owner = zone.core(zone.owners(target).front());
-            known += owner.state().flows.records_on(target).size();
+            recorded += owner.state().flows.records_on(target).size();
         }
-        EXPECT_EQ(30U, known);
+        EXPECT_EQ(30U, recorded);
     }
-    EXPECT_EQ(1, zone.most_runs());
+    EXPECT_EQ(1, zone.max_runs());
 }
 
-// A rolling restart hangs because one instance has nobody to hand its targets to. It stops after
-// leave_limit all the same.
+// A leaving instance without a peer to hand its targets to stops after leave_limit, so that a
+// rolling restart doesn't hang.
 TEST(rolling_restart, leave_without_a_receiver_ends) {
     zone_of_cores zone{{"t"}};
     zone.start("a");
--- a/tests/support/zone_of_cores.cpp
+++ b/tests/support/zone_of_cores.cpp
@@ -10,7 +10,7 @@
 zone_of_cores::zone_of_cores(std::vector<std::string> targets)
     : target_names_{std::move(targets)} {}
 
-std::string zone_of_cores::text() {
+std::string zone_of_cores::configuration_text() {
     using json = nlohmann::json;
     json root;
     root["zones"] = {{{"name", "north"}, {"state", "in"}}};
@@ -42,7 +42,7 @@
                                             .peer_address = name,
                                             .incarnation = to_milliseconds(now_) + clock_offset,
                                             .started = now_});
-    added.core->on_configuration(text(), version_, now_);
+    added.core->on_configuration(configuration_text(), version_, now_);
     std::vector<membership::listed_instance> listed;
     for (const auto& [other, core] : cores_) {
         listed.push_back({.name = other, .zone = "north", .address = other, .is_leaving = false});
@@ -59,9 +59,9 @@
 }
 
 void zone_of_cores::resume(const std::string& name) {
-    auto& subject = cores_.at(name);
-    subject.is_paused = false;
-    std::ranges::move(std::exchange(subject.held, {}), std::back_inserter(in_flight_));
+    auto& resumed = cores_.at(name);
+    resumed.is_paused = false;
+    std::ranges::move(std::exchange(resumed.held_messages, {}), std::back_inserter(in_flight_));
 }
 
 void zone_of_cores::retire(const std::string& name, bool is_retired) {
@@ -78,7 +78,7 @@
     ++version_;
     for (auto& [name, each] : cores_) {
         if (is_running(name)) {
-            each.core->on_configuration(text(), version_, now_);
+            each.core->on_configuration(configuration_text(), version_, now_);
             collect(name);
         }
     }
@@ -92,7 +92,7 @@
         return;
     }
     if (found->second.is_paused) {
-        found->second.held.push_back(std::move(next));
+        found->second.held_messages.push_back(std::move(next));
         return;
     }
     found->second.core->on_peer_message(next.content, now_);
@@ -132,34 +132,34 @@
 
 void zone_of_cores::collect(const std::string& name) {
     cores_.at(name).last_event = now_;
-    for (const auto& wanted : cores_.at(name).core->take_actions()) {
-        carry_out(name, wanted);
+    for (const auto& requested : cores_.at(name).core->take_actions()) {
+        execute(name, requested);
     }
 }
 
-void zone_of_cores::carry_out(const std::string& name, const action& wanted) {
-    if (const auto* to_peer = std::get_if<send_to_peer>(&wanted)) {
+void zone_of_cores::execute(const std::string& name, const action& requested) {
+    if (const auto* to_peer = std::get_if<send_to_peer>(&requested)) {
         ++messages_sent;
         bytes_sent += static_cast<std::int64_t>(encoder_.encode(to_peer->content, {}).size());
         const delivery sent{name, to_peer->name, to_peer->content};
-        if (!loss_ || !loss_(sent)) {
+        if (!loss_filter_ || !loss_filter_(sent)) {
             in_flight_.push_back(sent);
         }
-    } else if (const auto* to_caller = std::get_if<send_to_caller>(&wanted)) {
+    } else if (const auto* to_caller = std::get_if<send_to_caller>(&requested)) {
         caller_packets_.push_back(to_caller->content);
-    } else if (const auto* to_target = std::get_if<send_to_target>(&wanted)) {
+    } else if (const auto* to_target = std::get_if<send_to_target>(&requested)) {
         const auto& target = addresses_.name_of(to_target->address);
-        if (const auto said = targets_[target].receive(name, to_target->content)) {
-            reply(target, *said);
+        if (const auto response = targets_[target].receive(name, to_target->content)) {
+            reply(target, *response);
         }
     }
 }
 
-void zone_of_cores::reply(const std::string& target, const fake_target::reply& said) {
-    if (is_running(said.instance)) {
-        cores_.at(said.instance)
-            .core->on_target_packet(addresses_.address_of(target), said.content, now_);
-        collect(said.instance);
+void zone_of_cores::reply(const std::string& target, const fake_target::reply& response) {
+    if (is_running(response.instance)) {
+        cores_.at(response.instance)
+            .core->on_target_packet(addresses_.address_of(target), response.content, now_);
+        collect(response.instance);
     }
 }
 
@@ -200,8 +200,8 @@
 
 void zone_of_cores::answer(std::int64_t flow_number, std::int64_t request) {
     for (auto& [name, each] : targets_) {
-        if (const auto said = each.end(flow_number, request, wire::packet_kind::answer)) {
-            reply(name, *said);
+        if (const auto response = each.end(flow_number, request, wire::packet_kind::answer)) {
+            reply(name, *response);
             return;
         }
     }
@@ -210,8 +210,9 @@
 std::vector<std::string> zone_of_cores::owners(std::string_view target) const {
     std::vector<std::string> result;
     for (const auto& [name, each] : cores_) {
-        const bool is_woken = now_ - each.last_event > membership::pause_limit;
-        if (is_running(name) && !is_woken && each.core->state().ownership.find(target) != nullptr &&
+        const bool has_unhandled_pause = now_ - each.last_event > membership::pause_limit;
+        if (is_running(name) && !has_unhandled_pause &&
+            each.core->state().ownership.find(target) != nullptr &&
             each.core->state().peers.holds_lease(now_)) {
             result.push_back(name);
         }
@@ -228,15 +229,15 @@
     return found != cores_.end() && !found->second.is_dead && !found->second.is_paused;
 }
 
-int zone_of_cores::most_runs() const {
-    int most = 0;
+int zone_of_cores::max_runs() const {
+    int result = 0;
     std::map<std::pair<std::int64_t, std::int64_t>, int> sums;
     for (const auto& [name, each] : targets_) {
         for (const auto& [id, runs] : each.runs()) {
-            most = std::max(most, sums[id] += runs);
+            result = std::max(result, sums[id] += runs);
         }
     }
-    return most;
+    return result;
 }
 
 int zone_of_cores::outcomes(std::int64_t flow, std::int64_t number, wire::packet_kind kind) const {
--- a/tests/support/zone_of_cores.h
+++ b/tests/support/zone_of_cores.h
@@ -1,6 +1,6 @@
-// The instances of one zone with the messages between them in the test's hand: each can be
-// delivered, lost, repeated or overtaken. For tests in which the order of messages decides; there
-// is no model of a network.
+// The instances of one zone, with the messages between them under the test's control: each message
+// can be delivered, dropped, duplicated or reordered. For tests that depend on the order of
+// messages; no network is simulated.
 #pragma once
 
 #include <deque>
@@ -25,33 +25,34 @@
         std::string receiver;
         wire::peer_message content;
     };
-    // Returns true for a message that is to be lost.
-    using loss = std::function<bool(const delivery&)>;
+    // Returns true for a message that is to be dropped.
+    using loss_filter = std::function<bool(const delivery&)>;
 
-    // `targets` all serve the one service; each has two slots and room for many flows.
+    // All `targets` serve one service; each has two slots and capacity for many flows.
     explicit zone_of_cores(std::vector<std::string> targets);
 
-    // A first start, or a restart under the same name and address.
+    // Starts an instance, or restarts it under the same name and address.
     void start(const std::string& name, std::int64_t clock_offset = 0);
     void kill(const std::string& name);
     void pause(const std::string& name) { cores_.at(name).is_paused = true; }
-    // Datagrams that came meanwhile are in flight afterwards; no tick has happened yet.
+    // Resumes a paused instance. Datagrams that arrived during the pause are in flight afterwards;
+    // no tick has run yet.
     void resume(const std::string& name);
     void leave(const std::string& name) { cores_.at(name).core->leave(); }
     void retire(const std::string& name, bool is_retired);
     void remove_target(const std::string& target);
 
-    void lose(loss which) { loss_ = std::move(which); }
+    void set_loss_filter(loss_filter filter) { loss_filter_ = std::move(filter); }
     void deliver_all();
-    // Delivers, repeats or loses the message at `index`.
+    // Deliver, duplicate or drop the message at `index`.
     void deliver(std::size_t index);
-    void repeat(std::size_t index) { in_flight_.push_back(in_flight_.at(index)); }
+    void duplicate(std::size_t index) { in_flight_.push_back(in_flight_.at(index)); }
     void drop(std::size_t index);
     std::size_t in_flight() const { return in_flight_.size(); }
 
     void tick(const std::string& name);
-    void pass(clock::duration time) { now_ += time; }
-    // Ticks every running core and delivers everything in between.
+    void advance_clock(clock::duration time) { now_ += time; }
+    // Advances the time, ticks every running instance and delivers all messages after each tick.
     void advance(clock::duration time);
 
     void open(std::int64_t flow, const std::string& via);
@@ -60,10 +61,10 @@
     void data(std::int64_t flow, const std::string& via);
     void answer(std::int64_t flow_number, std::int64_t request);
 
-    // The instances that own `target` and may send it new work. One that has just been resumed
-    // doesn't count before its first event, which drops what it owned.
+    // The instances that own `target` and may send it new work. A resumed instance isn't counted
+    // before its first event, at which it drops its ownerships.
     std::vector<std::string> owners(std::string_view target) const;
-    // Which of `names` wins the rendezvous for `target`.
+    // The winner of the rendezvous hashing for `target` among `names`.
     static std::string winner(const std::vector<std::string>& names, std::string_view target);
 
     clock::time_point now() const { return now_; }
@@ -72,8 +73,8 @@
     bool is_dead(const std::string& name) const { return cores_.at(name).is_dead; }
     const instance& core(const std::string& name) const { return *cores_.at(name).core; }
     const fake_target& target(const std::string& name) { return targets_[name]; }
-    // How often any request ran that ran most often.
-    int most_runs() const;
+    // The highest number of runs of any request.
+    int max_runs() const;
     const std::vector<wire::packet>& caller_packets() const { return caller_packets_; }
     int outcomes(std::int64_t flow, std::int64_t number, wire::packet_kind kind) const;
 
@@ -81,30 +82,30 @@
     std::int64_t bytes_sent = 0;
 
 private:
-    struct member_core {
+    struct instance_state {
         std::unique_ptr<instance> core;
         bool is_paused = false;
         bool is_dead = false;
         clock::time_point last_event;
-        std::vector<delivery> held;
+        std::vector<delivery> held_messages;  // arrived during a pause
     };
 
     void collect(const std::string& name);
-    void carry_out(const std::string& name, const action& wanted);
-    void reply(const std::string& target, const fake_target::reply& said);
+    void execute(const std::string& name, const action& requested);
+    void reply(const std::string& target, const fake_target::reply& response);
     void send(wire::packet packet, const std::string& via);
     void apply();
-    std::string text();
+    std::string configuration_text();
 
     clock::time_point now_ = to_time_point(1'000'000'000);
     std::vector<std::string> target_names_;
     std::map<std::string, bool> retired_;
     std::int64_t version_ = 1;
-    std::map<std::string, member_core> cores_;
+    std::map<std::string, instance_state> cores_;
     std::map<std::string, fake_target> targets_;
     target_addresses addresses_;
     std::deque<delivery> in_flight_;
-    loss loss_;
+    loss_filter loss_filter_;
     std::vector<wire::packet> caller_packets_;
     wire::encoder encoder_;
 };
