--- a/benchmarks/requests_benchmark.cpp
+++ b/benchmarks/requests_benchmark.cpp
@@ -1,5 +1,5 @@
-// What one request costs its owner, with the argument's number of records in its table: from the
-// caller's packet to the target's answer, with the ticks that expire old records.
+// Cost of one request to the owner of its target, from the caller's packet to the target's answer,
+// including the ticks that expire old records. The argument is the number of records in the table.
 #include <benchmark/benchmark.h>
 #include <malloc.h>
 
@@ -23,7 +23,8 @@
     return packet;
 }
 
-// A sole owner of 14 targets whose time advances so that the table holds `records` at any time.
+// The only owner of 14 targets. Time advances at a rate that keeps about `records` records in the
+// table.
 class busy_owner {
 public:
     explicit busy_owner(std::int64_t records)
@@ -36,21 +37,21 @@
                          .started = now()}} {
         core_.on_configuration(testing::fleet_text({.zones = 1, .services = 1, .targets = 14}), 1,
                                now());
-        constexpr std::int64_t settling = 15'000;
-        advance(settling);
+        constexpr std::int64_t startup_ms = 15'000;
+        advance(startup_ms);
         for (std::int64_t flow = 1; flow <= flows; ++flow) {
             core_.on_caller_packet(packet_of(wire::packet_kind::open, flow), now());
         }
         core_.take_actions();
         for (std::int64_t i = 0; i < records; ++i) {
-            ask_and_answer();
+            process_request();
         }
     }
 
-    void ask_and_answer() {
-        ++asked_;
-        auto request = packet_of(wire::packet_kind::request, asked_ % flows + 1);
-        request.request = asked_;
+    void process_request() {
+        ++requests_sent_;
+        auto request = packet_of(wire::packet_kind::request, requests_sent_ % flows + 1);
+        request.request = requests_sent_;
         request.may_repeat = wire::repetition::at_most_once;
         constexpr std::int64_t deadline = 3'000;
         request.deadline = to_milliseconds(now()) + deadline;
@@ -84,7 +85,7 @@
     double step_;
     double time_ = 1'000'000;
     double next_tick_ = time_;
-    std::int64_t asked_ = 0;
+    std::int64_t requests_sent_ = 0;
     instance core_;
 };
 
@@ -95,7 +96,7 @@
     state.counters["records"] = static_cast<double>(owner.records());
     state.counters["heap_bytes"] = heap;
     for (auto _ : state) {
-        owner.ask_and_answer();
+        owner.process_request();
     }
     state.SetItemsProcessed(state.iterations());
 }
