--- a/libraries/instance/instance.cpp
+++ b/libraries/instance/instance.cpp
@@ -65,8 +65,8 @@
                    .reported_loads = context_.reported_loads,
                    .placements = context_.placements,
                    .out = context_.out},
-                  [this](const configuration::target& target, membership::origin how) {
-                      owner_.on_gained(target, how, now_);
+                  [this](const configuration::target& target, membership::origin origin) {
+                      owner_.on_acquired(target, origin, now_);
                   },
                   [this](const configuration::target& target) { owner_.on_merged(target, now_); }},
       configuration_sync_{{.configuration = context_.configuration,
@@ -149,7 +149,7 @@
 
 void instance::on_peer_message(const wire::peer_message& message, clock::time_point now) {
     begin_event(now);
-    if (context_.peers.note_heartbeat_from(message, now)) {
+    if (context_.peers.accept_message(message, now)) {
         dispatch_message(message, now);
         route_released(now);
     }
--- a/tests/load_cold_start_test.cpp
+++ b/tests/load_cold_start_test.cpp
@@ -74,12 +74,12 @@
     for (const std::int64_t flow : {1, 2, 3}) {
         auto accepted = *owner.last_to_target(wire::packet_kind::open);
         accepted.flow = flow;
-        owner.target_says(wire::packet_kind::open_accepted, accepted);
+        owner.reply_from_target(wire::packet_kind::open_accepted, accepted);
     }
     for (const std::int64_t flow : {1, 2}) {
         auto reset = *owner.last_to_target(wire::packet_kind::open);
         reset.flow = flow;
-        owner.target_says(wire::packet_kind::reset, reset);
+        owner.reply_from_target(wire::packet_kind::reset, reset);
     }
     owner.once(3, 1);
     owner.once(3, 2);
@@ -116,7 +116,7 @@
     for (int flow = 201; flow <= 230; ++flow) {
         session.run("open flow=" + std::to_string(flow) + " via=" + peer);
     }
-    EXPECT_EQ(session.target("board-1").most_flows(), 20);
+    EXPECT_EQ(session.target("board-1").max_flows(), 20);
 }
 
 // A report after a takeover lags and doesn't show flows that the successor has opened since.
