--- a/libraries/flows/lookup.cpp
+++ b/libraries/flows/lookup.cpp
@@ -9,16 +9,17 @@
 
 using wire::packet_kind;
 
-// Lost queries and answers are repeated after this time.
-constexpr clock::duration repeat_interval{200};
-// A target that knows the flow says nothing. So long after it was asked, silence counts as
-// knowledge if every other candidate is ruled out: many times the round trip.
-constexpr clock::duration silence_limit{100};
-// Failure: this instance has an old configuration and doesn't know the target that a peer with the
-// new one has placed the flow on; a reset would break a live flow. Two heartbeats tell of the new
-// version, so a flow that is nowhere is reset only after them.
+// Queries are retransmitted after this time, because a query or its answer may be lost.
+constexpr clock::duration retransmit_interval{200};
+// A target that holds the flow does not answer the probe. After this time, many times the round
+// trip, silence counts as holding the flow if every other candidate is ruled out.
+constexpr clock::duration probe_timeout{100};
+// This instance may have an old configuration without the target on which a peer with the new one
+// has placed the flow, and a reset would break a live flow. Two heartbeats suffice to announce the
+// new version, so a flow that is found nowhere is reset only after them.
 constexpr clock::duration reset_delay{2 * membership::heartbeat_interval};
-// Two owners' heartbeats lost: a peer is dead or heard within this time.
+// Covers lost heartbeats of two owners: by then each peer is either declared dead or has sent a
+// heartbeat.
 constexpr clock::duration lookup_timeout{3'000};
 constexpr clock::duration retry_after{1'000};
 
@@ -30,23 +31,23 @@
 
 void lookup::start(wire::forward content, clock::time_point now) {
     const auto key = routing::key_of(content.content);
-    if (running_.contains(key)) {
+    if (lookups_.contains(key)) {
         shared_.out.drop(content.content, result_code::flow_in_doubt);
         return;
     }
-    if (running_.size() >= max_lookups) {
-        give_up(content);
+    if (lookups_.size() >= max_lookups) {
+        fail_packet(content);
         return;
     }
-    running added;
+    pending_lookup added;
     added.undecided = candidates(content);
     added.configuration_version = shared_.configuration.version;
-    added.held = std::move(content);
-    added.since = now;
-    added.stage_began = now;
-    running_.emplace(key, std::move(added));
-    ask_all(key, now);
-    review(key, now);
+    added.held_packet = std::move(content);
+    added.started_at = now;
+    added.stage_started_at = now;
+    lookups_.emplace(key, std::move(added));
+    query_undecided(key, now);
+    evaluate(key, now);
 }
 
 std::vector<lookup::candidate> lookup::candidates(const wire::forward& content) const {
@@ -58,9 +59,9 @@
     return result;
 }
 
-// Failure: an address is given to another service, and a packet of a flow that was opened before is
-// looked for among the new service's targets only; the flow ends, or its packets reach a stranger.
-// So the service that had the address under `configuration` counts as well.
+// After a service address was reassigned, a packet of an older flow would be looked up among the
+// targets of the new service only: the flow would end, or its packets would reach a target of
+// another service. So the service that had the address under `configuration` is included.
 void lookup::add_candidates(const configuration::configuration& configuration,
                             const wire::forward& content, std::vector<candidate>& result) const {
     const auto key = routing::key_of(content.content);
@@ -76,34 +77,34 @@
                                    shared_.configuration.is_zone_in(current->zone);
             const bool is_new =
                 std::ranges::find(result, each->name, &candidate::target) == result.end();
-            if (is_served && is_new && result.size() < max_candidates_asked) {
+            if (is_served && is_new && result.size() < max_queried_candidates) {
                 result.push_back({.target = each->name});
             }
         }
     }
 }
 
-void lookup::ask_all(routing::flow_key key, clock::time_point now) {
-    auto& subject = running_.at(key);
-    subject.asked = now;
+void lookup::query_undecided(routing::flow_key key, clock::time_point now) {
+    auto& state = lookups_.at(key);
+    state.queried_at = now;
     wire::flow_query query;
-    query.content = subject.held;
+    query.content = state.held_packet;
     query.content.content.payload.clear();
-    query.ask_target = subject.targets_asked.has_value();
-    const auto undecided = subject.undecided;
+    query.ask_target = state.targets_probed_at.has_value();
+    const auto undecided = state.undecided;
     for (const auto& each : undecided) {
-        if (!running_.contains(key)) {
-            return;  // an answer of this instance's own ended the lookup
+        if (!lookups_.contains(key)) {
+            return;  // a local answer has ended the lookup
         }
         query.content.target = each.target;
-        ask_(query, now);
+        send_query_(query, now);
     }
 }
 
 void lookup::on_answer(const wire::flow_query_answer& answer, clock::time_point now) {
     const auto key = routing::key_of(answer.content.content);
-    const auto found = running_.find(key);
-    if (found == running_.end()) {
+    const auto found = lookups_.find(key);
+    if (found == lookups_.end()) {
         return;
     }
     if (answer.is_known) {
@@ -119,115 +120,115 @@
     if (answer.is_certain) {
         undecided.erase(each);
     }
-    review(key, now);
+    evaluate(key, now);
 }
 
-void lookup::review(routing::flow_key key, clock::time_point now) {
-    const auto found = running_.find(key);
-    if (found == running_.end()) {
+void lookup::evaluate(routing::flow_key key, clock::time_point now) {
+    const auto found = lookups_.find(key);
+    if (found == lookups_.end()) {
         return;
     }
-    auto& subject = found->second;
-    if (subject.undecided.empty() && widen(key, now)) {
+    auto& state = found->second;
+    if (state.undecided.empty() && query_remaining_targets(key, now)) {
         return;
     }
-    if (subject.undecided.empty()) {
-        subject.ruled_out = subject.ruled_out.value_or(now);
-        if (is_open(subject.held) || now - *subject.ruled_out >= reset_delay) {
+    if (state.undecided.empty()) {
+        state.ruled_out_at = state.ruled_out_at.value_or(now);
+        if (is_open(state.held_packet) || now - *state.ruled_out_at >= reset_delay) {
             finish(key, std::nullopt, now);
         }
         return;
     }
-    if (!subject.targets_asked) {
+    if (!state.targets_probed_at) {
         const bool have_all_answered =
-            std::ranges::all_of(subject.undecided, &candidate::has_answered);
-        if (have_all_answered || now - subject.stage_began >= repeat_interval) {
-            subject.targets_asked = now;
-            ask_all(key, now);
+            std::ranges::all_of(state.undecided, &candidate::has_answered);
+        if (have_all_answered || now - state.stage_started_at >= retransmit_interval) {
+            state.targets_probed_at = now;
+            query_undecided(key, now);
         }
         return;
     }
-    const bool is_last = subject.undecided.size() == 1 && !is_open(subject.held);
-    if (is_last && now - *subject.targets_asked >= silence_limit) {
-        finish(key, subject.undecided.front().target, now);
+    const bool is_last = state.undecided.size() == 1 && !is_open(state.held_packet);
+    if (is_last && now - *state.targets_probed_at >= probe_timeout) {
+        finish(key, state.undecided.front().target, now);
     }
 }
 
-bool lookup::widen(routing::flow_key key, clock::time_point now) {
-    auto& subject = running_.at(key);
-    if (is_open(subject.held) || !subject.asked_targets.empty()) {
+bool lookup::query_remaining_targets(routing::flow_key key, clock::time_point now) {
+    auto& state = lookups_.at(key);
+    if (is_open(state.held_packet) || !state.queried_targets.empty()) {
         return false;
     }
-    for (const auto& each : candidates(subject.held)) {
-        subject.asked_targets.push_back(each.target);
+    for (const auto& each : candidates(state.held_packet)) {
+        state.queried_targets.push_back(each.target);
     }
     for (const auto& each : shared_.configuration.targets) {
-        const bool is_asked =
-            std::ranges::find(subject.asked_targets, each.name) != subject.asked_targets.end();
-        const bool is_served = each.service == subject.held.service_name &&
+        const bool is_queried =
+            std::ranges::find(state.queried_targets, each.name) != state.queried_targets.end();
+        const bool is_served = each.service == state.held_packet.service_name &&
                                shared_.configuration.is_zone_in(each.zone);
-        if (is_served && !is_asked && subject.undecided.size() < max_targets_asked) {
-            subject.undecided.push_back({.target = each.name});
+        if (is_served && !is_queried && state.undecided.size() < max_queried_targets) {
+            state.undecided.push_back({.target = each.name});
         }
     }
-    if (subject.undecided.empty()) {
+    if (state.undecided.empty()) {
         return false;
     }
-    subject.targets_asked.reset();
-    subject.stage_began = now;
-    ask_all(key, now);
-    review(key, now);
+    state.targets_probed_at.reset();
+    state.stage_started_at = now;
+    query_undecided(key, now);
+    evaluate(key, now);
     return true;
 }
 
 void lookup::on_tick(clock::time_point now) {
     std::vector<routing::flow_key> keys;
-    keys.reserve(running_.size());
-    std::ranges::transform(running_, std::back_inserter(keys),
+    keys.reserve(lookups_.size());
+    std::ranges::transform(lookups_, std::back_inserter(keys),
                            [](const auto& entry) { return entry.first; });
-    std::ranges::sort(keys);  // the same order on every run
+    std::ranges::sort(keys);  // deterministic order
     for (const auto key : keys) {
-        auto& subject = running_.at(key);
-        if (now - subject.since >= lookup_timeout) {
-            give_up(subject.held);
-            running_.erase(key);
+        auto& state = lookups_.at(key);
+        if (now - state.started_at >= lookup_timeout) {
+            fail_packet(state.held_packet);
+            lookups_.erase(key);
             continue;
         }
-        const bool is_changed = subject.configuration_version != shared_.configuration.version;
-        // Failure: a zone is taken out while an opening packet's copy is looked up; the target that
-        // holds the flow is no candidate any more, and the flow is opened at a second one.
-        if (is_changed && is_open(subject.held)) {
-            give_up(subject.held);
-            running_.erase(key);
+        const bool is_changed = state.configuration_version != shared_.configuration.version;
+        // If a zone is taken out during the lookup of a copy of an opening packet, the target that
+        // holds the flow is no longer a candidate, and the flow would be opened at a second target.
+        if (is_changed && is_open(state.held_packet)) {
+            fail_packet(state.held_packet);
+            lookups_.erase(key);
             continue;
         }
         if (is_changed) {
-            auto held = std::move(subject.held);
-            running_.erase(key);
-            start(std::move(held), now);
+            auto held_packet = std::move(state.held_packet);
+            lookups_.erase(key);
+            start(std::move(held_packet), now);
             continue;
         }
-        if (!subject.undecided.empty() && now - subject.asked >= repeat_interval) {
-            ask_all(key, now);
+        if (!state.undecided.empty() && now - state.queried_at >= retransmit_interval) {
+            query_undecided(key, now);
         }
-        review(key, now);
+        evaluate(key, now);
     }
 }
 
 void lookup::finish(routing::flow_key key, std::optional<std::string> target,
                     clock::time_point now) {
-    auto held = std::move(running_.at(key).held);
-    running_.erase(key);
+    auto held_packet = std::move(lookups_.at(key).held_packet);
+    lookups_.erase(key);
     shared_.out.log(log_event{"flow_looked_up"}
-                        .with("service", held.service_name)
-                        .with("caller", held.content.caller)
-                        .with("flow", held.content.flow)
+                        .with("service", held_packet.service_name)
+                        .with("caller", held_packet.content.caller)
+                        .with("flow", held_packet.content.flow)
                         .with("target", target.value_or("none")));
-    found_(std::move(held), std::move(target), now);
+    on_result_(std::move(held_packet), std::move(target), now);
 }
 
-// A request that was dispatched under the owner before may have run, so its outcome is unknown.
-void lookup::give_up(const wire::forward& content) {
+// A request that the previous owner dispatched may have run, so its outcome is unknown.
+void lookup::fail_packet(const wire::forward& content) {
     if (is_open(content)) {
         shared_.out.refuse(content.content, result_code::flow_in_doubt, retry_after);
     } else if (content.content.kind == packet_kind::request) {
@@ -238,18 +239,18 @@
 }
 
 bool lookup::is_opening(routing::flow_key key) const {
-    const auto found = running_.find(key);
-    return found != running_.end() && is_open(found->second.held);
+    const auto found = lookups_.find(key);
+    return found != lookups_.end() && is_open(found->second.held_packet);
 }
 
 std::optional<wire::forward> lookup::abandon(routing::flow_key key) {
-    const auto found = running_.find(key);
-    if (found == running_.end()) {
+    const auto found = lookups_.find(key);
+    if (found == lookups_.end()) {
         return std::nullopt;
     }
-    auto held = std::move(found->second.held);
-    running_.erase(found);
-    return held;
+    auto held_packet = std::move(found->second.held_packet);
+    lookups_.erase(found);
+    return held_packet;
 }
 
 }  // namespace bramleytrack::flows
