--- a/libraries/flows/location_table.cpp
+++ b/libraries/flows/location_table.cpp
@@ -8,17 +8,17 @@
 }
 
 void location_table::put(routing::flow_key key, std::string_view target, clock::time_point now) {
-    const auto next = static_cast<std::uint32_t>(names_.size());
-    const auto [found, is_new] = index_by_name_.try_emplace(std::string{target}, next);
+    const auto next = static_cast<std::uint32_t>(target_names_.size());
+    const auto [found, is_new] = target_index_by_name_.try_emplace(std::string{target}, next);
     if (is_new) {
-        names_.emplace_back(target);
+        target_names_.emplace_back(target);
     }
     entries_[key] = {.target = found->second, .last_used = seconds(now)};
 }
 
 std::string_view location_table::find(routing::flow_key key) const {
     const auto found = entries_.find(key);
-    return found == entries_.end() ? std::string_view{} : names_[found->second.target];
+    return found == entries_.end() ? std::string_view{} : target_names_[found->second.target];
 }
 
 void location_table::touch(routing::flow_key key, clock::time_point now) {
@@ -29,8 +29,8 @@
 }
 
 void location_table::erase_on(std::string_view target) {
-    const auto found = index_by_name_.find(std::string{target});
-    if (found == index_by_name_.end()) {
+    const auto found = target_index_by_name_.find(std::string{target});
+    if (found == target_index_by_name_.end()) {
         return;
     }
     std::erase_if(entries_, [index = found->second](const auto& each) {
