--- a/libraries/flows/flow_query_responder.h
+++ b/libraries/flows/flow_query_responder.h
@@ -1,5 +1,6 @@
-// Answers for owned targets whether a flow is there: from the records, and where these may have
-// gaps by asking the target itself.
+// Answers flow queries for the targets that this instance owns. A flow that is in the flow table or
+// the location table is reported with its target. Where the records may be incomplete, the target
+// itself is probed.
 #pragma once
 
 #include <functional>
@@ -19,12 +20,12 @@
 
 namespace bramleytrack::flows {
 
-// No copy of an opening packet arrives later than this after the first one.
+// A copy of an opening packet arrives at most this long after the first one.
 constexpr clock::duration opening_lifetime{10'000};
 
 class flow_query_responder {
 public:
-    // What it needs of the instance.
+    // References to the parts of the instance that this class uses.
     struct shared_state {
         const identity& self;
         const configuration::configuration& configuration;
@@ -35,42 +36,44 @@
     };
 
     using answer_callback = std::function<void(
-        std::string_view asker, const wire::flow_query_answer& answer, clock::time_point now)>;
+        std::string_view requester, const wire::flow_query_answer& answer, clock::time_point now)>;
 
     flow_query_responder(const shared_state& shared, answer_callback answer)
         : shared_{shared}, answer_{std::move(answer)} {}
 
-    void on_query(std::string_view asker, const wire::flow_query& query, clock::time_point now);
-    // Returns true when the reset answered a question of this class and concerns no caller.
+    void on_query(std::string_view requester, const wire::flow_query& query, clock::time_point now);
+    // Returns true if the reset answers a probe of this class and must not reach the caller.
     bool on_reset(const configuration::target& target, const wire::packet& content,
                   clock::time_point now);
     void on_tick(clock::time_point now);
 
-    // The peer that was told that a flow may be opened there; empty when there is none.
-    std::string ceded_to(routing::flow_key key, clock::time_point now) const;
+    // The peer that may open the flow, because its query was answered with "not known"; empty if
+    // there is none.
+    std::string home_delegated_to(routing::flow_key key, clock::time_point now) const;
 
 private:
-    struct asked {
-        std::string asker;
+    struct pending_probe {
+        std::string requester;
         wire::forward content;
         clock::time_point since;
     };
-    struct ceded {
+    struct delegated_opening {
         std::string home;
         clock::time_point since;
     };
 
     bool is_ruled_out(const wire::forward& content, clock::time_point now) const;
-    void ask_target(std::string_view asker, const wire::forward& content, clock::time_point now);
-    void reply(std::string_view asker, const wire::forward& content, bool is_certain,
+    void probe_target(std::string_view requester, const wire::forward& content,
+                      clock::time_point now);
+    void reply(std::string_view requester, const wire::forward& content, bool is_certain,
                clock::time_point now);
-    void reply_known(std::string_view asker, const wire::forward& content, std::string_view target,
-                     clock::time_point now);
+    void reply_with_target(std::string_view requester, const wire::forward& content,
+                           std::string_view target, clock::time_point now);
 
     shared_state shared_;
     answer_callback answer_;
-    std::map<std::pair<routing::flow_key, std::string>, asked> asked_;
-    std::unordered_map<routing::flow_key, ceded> ceded_;
+    std::map<std::pair<routing::flow_key, std::string>, pending_probe> pending_probes_;
+    std::unordered_map<routing::flow_key, delegated_opening> delegated_openings_;
 };
 
 }  // namespace bramleytrack::flows
--- a/libraries/flows/flow_table.cpp
+++ b/libraries/flows/flow_table.cpp
@@ -2,8 +2,8 @@
 
 namespace bramleytrack::flows {
 
-bool is_same_flow(const flow& known, const wire::packet& content) {
-    const auto& record = known.record;
+bool is_same_flow(const flow& existing, const wire::packet& content) {
+    const auto& record = existing.record;
     return record.caller == content.caller && record.flow == content.flow &&
            record.service_address == content.service_address;
 }
@@ -22,7 +22,7 @@
     const auto key = static_cast<routing::flow_key>(record.key);
     erase(key);
     ++count_by_target_[record.target];
-    return flows_[key] = {.record = record, .state = state, .last_used = now, .home_mark = 0};
+    return flows_[key] = {.record = record, .state = state, .last_used = now, .home_id = 0};
 }
 
 void flow_table::erase(routing::flow_key key) {
--- a/libraries/flows/flow_table.h
+++ b/libraries/flows/flow_table.h
@@ -1,7 +1,7 @@
-// The records of the flows on targets that this instance owns. What it knows of other flows as
-// their home is in location_table.
+// Records of the flows on the targets that this instance owns. Flows of which this instance is only
+// the home are kept in location_table.
 //
-// The home of a flow is the owner of the first candidate of its key. It alone places the flow.
+// The home of a flow is the owner of the first candidate of its key. Only the home places the flow.
 #pragma once
 
 #include <cstdint>
@@ -25,24 +25,25 @@
     wire::flow_record record;
     flow_state state = flow_state::opening;
     clock::time_point last_used;
-    // The home that knows where the flow is; see location_announcer.h. 0: none was told.
-    std::uint32_t home_mark = 0;
+    // Identifies the home that has acknowledged the location of this flow, see
+    // location_announcer.h. 0: none has.
+    std::uint32_t home_id = 0;
 };
 
-// Failure: two flows with one 64-bit key, or an address that now belongs to another service. A
-// packet would reach a stranger's target; the record names both ends, so they are compared.
-bool is_same_flow(const flow& known, const wire::packet& content);
+// Compares both ends of the flow, because a 64-bit key may collide and a service address may have
+// been reassigned to another service. Without this check the packet would reach a target of another
+// flow or service.
+bool is_same_flow(const flow& existing, const wire::packet& content);
 
 class flow_table {
 public:
     flow* find(routing::flow_key key);
     const flow* find(routing::flow_key key) const;
 
-    // Replaces what was known of the same key.
+    // Replaces an existing record with the same key.
     flow& put(const wire::flow_record& record, flow_state state, clock::time_point now);
     void erase(routing::flow_key key);
 
-    // Records of the flows on `target`.
     std::vector<wire::flow_record> records_on(std::string_view target) const;
     std::vector<routing::flow_key> unused_since(clock::time_point limit) const;
     int count_on(std::string_view target) const;
@@ -53,7 +54,7 @@
 
 private:
     std::unordered_map<routing::flow_key, flow> flows_;
-    std::unordered_map<std::string, int> count_by_target_;  // equals the records per target
+    std::unordered_map<std::string, int> count_by_target_;  // number of entries of flows_ by target
 };
 
 }  // namespace bramleytrack::flows
--- a/libraries/flows/home.cpp
+++ b/libraries/flows/home.cpp
@@ -3,17 +3,18 @@
 #include <algorithm>
 
 #include "entry/router.h"
-#include "flows/forget_flow.h"
+#include "flows/erase_flow.h"
 #include "load/admission.h"
 #include "load/placement.h"
 
 namespace bramleytrack::flows {
 namespace {
 
-// A placement that got no answer for so long is begun anew by the caller's next copy.
-constexpr clock::duration placing_timeout{5'000};
-// Come-back time when no candidate has room: targets free connections within seconds.
-constexpr clock::duration no_room_come_back{2'000};
+// A placement attempt that is older than this is restarted by the caller's next copy of the opening
+// packet.
+constexpr clock::duration placement_timeout{5'000};
+// Retry-After when no candidate has capacity: targets free connections within seconds.
+constexpr clock::duration no_capacity_retry_after{2'000};
 
 }  // namespace
 
@@ -22,28 +23,29 @@
       path_{path},
       lookup_{
           {.configuration = shared.configuration, .previous = shared.previous, .out = shared.out},
-          [this](const wire::flow_query& query, clock::time_point now) { ask(query, now); },
-          [this](wire::forward held, const std::optional<std::string>& target,
-                 clock::time_point now) { on_looked_up(std::move(held), target, now); }},
+          [this](const wire::flow_query& query, clock::time_point now) { send_query(query, now); },
+          [this](wire::forward held_packet, const std::optional<std::string>& target,
+                 clock::time_point now) { on_lookup_result(std::move(held_packet), target, now); }},
       flow_query_responder_{{.self = shared.self,
                              .configuration = shared.configuration,
                              .ownership = shared.ownership,
                              .flows = shared.flows,
                              .locations = shared.locations,
                              .out = shared.out},
-                            [this](std::string_view asker, const wire::flow_query_answer& answer,
-                                   clock::time_point now) {
-                                if (asker == shared_.self.name) {
+                            [this](std::string_view requester,
+                                   const wire::flow_query_answer& answer, clock::time_point now) {
+                                if (requester == shared_.self.name) {
                                     lookup_.on_answer(answer, now);
                                     return;
                                 }
                                 wire::peer_message message;
                                 message.__set_query_answer(answer);
-                                shared_.out.send_peer(asker, std::move(message));
+                                shared_.out.send_peer(requester, std::move(message));
                             }} {}
 
-// Failure: a caller closes its flow while the answer to its request is lost, and the copy of the
-// request is told "unknown". The owner's record outlives the flow and has the answer.
+// If a caller closes its flow while the answer to its request is lost, the copy of the request
+// finds no flow and would be answered "unknown". The owner's request record outlives the flow and
+// has the answer.
 const records::request* home::find_request(const wire::packet& content) const {
     const bool is_about_request =
         content.kind == wire::packet_kind::request || content.kind == wire::packet_kind::cancel;
@@ -53,16 +55,17 @@
 
 void home::handle(wire::forward content, clock::time_point now) {
     const auto key = routing::key_of(content.content);
-    const auto* known = shared_.flows.find(key);
-    if (known != nullptr && !is_same_flow(*known, content.content)) {
+    const auto* existing = shared_.flows.find(key);
+    if (existing != nullptr && !is_same_flow(*existing, content.content)) {
         shared_.out.drop(content.content, result_code::wrong_service);
         return;
     }
-    const auto target = known != nullptr ? known->record.target : shared_.locations.find(key);
+    const auto target = existing != nullptr ? existing->record.target : shared_.locations.find(key);
     const bool is_open = content.content.kind == wire::packet_kind::open;
-    if (is_open && is_of_other_service(target, content.service_name)) {
-        // The address belongs to another service than when the flow of this number was opened.
-        forget_flow(shared_.flows, shared_.loads, key);
+    if (is_open && belongs_to_other_service(target, content.service_name)) {
+        // The address has been reassigned to another service since the flow with this number was
+        // opened.
+        erase_flow(shared_.flows, shared_.loads, key);
         shared_.locations.erase(key);
         open(std::move(content), now);
         return;
@@ -70,8 +73,8 @@
     if (target.empty()) {
         if (is_open) {
             open(std::move(content), now);
-        } else if (const auto* asked = find_request(content.content)) {
-            content.target = asked->target;
+        } else if (const auto* request = find_request(content.content)) {
+            content.target = request->target;
             path_.to_owner(std::move(content), now);
         } else {
             lookup_.start(std::move(content), now);
@@ -86,29 +89,30 @@
     path_.to_owner(std::move(content), now);
 }
 
-bool home::is_of_other_service(std::string_view target, std::string_view service) const {
+bool home::belongs_to_other_service(std::string_view target, std::string_view service) const {
     const auto* found = shared_.configuration.find_target(target);
     return found != nullptr && found->service != service;
 }
 
 void home::place(wire::forward content, clock::time_point now) {
     const auto key = routing::key_of(content.content);
-    auto& attempt = placing_[key];
-    if (now - attempt.since >= placing_timeout) {
+    auto& attempt = placement_attempts_[key];
+    if (now - attempt.since >= placement_timeout) {
         attempt = {.declined = {}, .since = now};
-        placing_order_.push_back(key);
+        placement_attempt_order_.push_back(key);
     }
     content.target = choose_target(content, attempt, now);
     if (content.target.empty()) {
-        placing_.erase(key);
+        placement_attempts_.erase(key);
         shared_.out.log(log_event{"flow_refused"}
                             .with("service", content.service_name)
                             .with("member", content.content.member)
-                            .with("reason", "no candidate has room"));
-        shared_.out.refuse(content.content, result_code::no_eligible_target, no_room_come_back);
+                            .with("reason", "no candidate has capacity"));
+        shared_.out.refuse(content.content, result_code::no_eligible_target,
+                           no_capacity_retry_after);
         return;
     }
-    remember(key, content.target, now);
+    record_location(key, content.target, now);
     content.is_new = true;
     if (shared_.ownership.find(content.target) == nullptr) {
         shared_.placements.note_placed(content.target);
@@ -116,7 +120,7 @@
     path_.to_owner(std::move(content), now);
 }
 
-std::string home::choose_target(const wire::forward& content, const placing& attempt,
+std::string home::choose_target(const wire::forward& content, const placement_attempt& attempt,
                                 clock::time_point now) const {
     const auto targets = routing::candidates_of(shared_.configuration, content.service_name,
                                                 routing::key_of(content.content));
@@ -145,34 +149,35 @@
 }
 
 void home::on_declined(const wire::placement_declined& declined, clock::time_point now) {
-    wire::forward again;
-    again.content = declined.content;
+    wire::forward retry;
+    retry.content = declined.content;
     const auto key = routing::key_of(declined.content);
-    const auto* known = shared_.flows.find(key);
-    const auto target = known != nullptr ? known->record.target : shared_.locations.find(key);
+    const auto* existing = shared_.flows.find(key);
+    const auto target = existing != nullptr ? existing->record.target : shared_.locations.find(key);
     if (!target.empty() && target != declined.target) {
-        return;  // an older copy of the answer: the flow is placed elsewhere by now
+        return;  // a stale duplicate: the flow has been placed on another target since
     }
-    if (target.empty() && !placing_.contains(key)) {
-        return;  // a late copy: this home isn't placing the flow
+    if (target.empty() && !placement_attempts_.contains(key)) {
+        return;  // a late duplicate: this home has no placement attempt for the flow
     }
-    forget_flow(shared_.flows, shared_.loads, key);
+    erase_flow(shared_.flows, shared_.loads, key);
     shared_.locations.erase(key);
     const auto* service =
         shared_.configuration.find_service_by_address(declined.content.service_address);
     if (service == nullptr) {
         return;
     }
-    again.service_name = service->name;
-    auto& attempt = placing_[key];
+    retry.service_name = service->name;
+    auto& attempt = placement_attempts_[key];
     attempt.declined.insert(declined.target);
     attempt.since = now;
-    placing_order_.push_back(key);
-    place(std::move(again), now);
+    placement_attempt_order_.push_back(key);
+    place(std::move(retry), now);
 }
 
-// Failure: a copy of the opening packet was treated by an earlier home of the flow, and placing the
-// flow anew opens it at two targets. A home that is younger than such copies can be looks first.
+// A copy of the opening packet may have been handled by an earlier home of the flow; placing the
+// flow again would open it at two targets. An instance that has been the home for less than
+// opening_lifetime therefore runs a lookup first.
 bool home::may_be_open(const wire::forward& content, clock::time_point now) const {
     const auto key = routing::key_of(content.content);
     const auto targets = routing::candidates_of(shared_.configuration, content.service_name, key);
@@ -193,9 +198,10 @@
 }
 
 void home::open(wire::forward content, clock::time_point now) {
-    const auto other_home = flow_query_responder_.ceded_to(routing::key_of(content.content), now);
+    const auto other_home =
+        flow_query_responder_.home_delegated_to(routing::key_of(content.content), now);
     if (!other_home.empty()) {
-        forward_to(other_home, std::move(content));
+        forward_to_peer(other_home, std::move(content));
         return;
     }
     if (may_be_open(content, now)) {
@@ -205,7 +211,7 @@
     place(std::move(content), now);
 }
 
-void home::ask(const wire::flow_query& query, clock::time_point now) {
+void home::send_query(const wire::flow_query& query, clock::time_point now) {
     const auto* target = shared_.configuration.find_target(query.content.target);
     if (target == nullptr) {
         return;
@@ -221,15 +227,16 @@
 }
 
 void home::on_query(std::string_view sender, const wire::flow_query& query, clock::time_point now) {
-    // Two instances with different configurations each take themselves for the home of one new
-    // flow. The one whose name comes first goes on; the other passes its packet there.
+    // Two instances with different configurations may both consider themselves the home of one new
+    // flow. The one with the lexicographically smaller name continues; the other forwards its
+    // packet to that peer.
     const auto key = routing::key_of(query.content.content);
     if (lookup_.is_opening(key)) {
         if (std::string_view{shared_.self.name} < sender) {
             return;
         }
-        if (auto held = lookup_.abandon(key)) {
-            forward_to(sender, std::move(*held));
+        if (auto held_packet = lookup_.abandon(key)) {
+            forward_to_peer(sender, std::move(*held_packet));
         }
     }
     flow_query_responder_.on_query(sender, query, now);
@@ -244,28 +251,28 @@
     return flow_query_responder_.on_reset(target, content, now);
 }
 
-void home::on_looked_up(wire::forward held, const std::optional<std::string>& target,
-                        clock::time_point now) {
+void home::on_lookup_result(wire::forward held_packet, const std::optional<std::string>& target,
+                            clock::time_point now) {
     if (!target) {
-        if (held.content.kind == wire::packet_kind::open) {
-            place(std::move(held), now);
+        if (held_packet.content.kind == wire::packet_kind::open) {
+            place(std::move(held_packet), now);
         } else {
-            // The request may have run before the flow ended, so the reset alone leaves its caller
-            // without an outcome.
-            if (held.content.kind == wire::packet_kind::request) {
-                shared_.out.answer_unknown(held.content, result_code::unknown_flow);
+            // The request may have run before the flow ended, and a reset alone would leave its
+            // caller without an outcome.
+            if (held_packet.content.kind == wire::packet_kind::request) {
+                shared_.out.answer_unknown(held_packet.content, result_code::unknown_flow);
             }
             shared_.out.send_caller(
-                reply_to(held.content, wire::packet_kind::reset, result_code::unknown_flow));
+                reply_to(held_packet.content, wire::packet_kind::reset, result_code::unknown_flow));
         }
         return;
     }
-    held.target = *target;
-    remember(routing::key_of(held.content), *target, now);
-    path_.to_owner(std::move(held), now);
+    held_packet.target = *target;
+    record_location(routing::key_of(held_packet.content), *target, now);
+    path_.to_owner(std::move(held_packet), now);
 }
 
-void home::forward_to(std::string_view peer, wire::forward content) {
+void home::forward_to_peer(std::string_view peer, wire::forward content) {
     if (++content.hops > entry::max_hops) {
         shared_.out.drop(content.content, result_code::too_many_hops);
         return;
@@ -281,7 +288,7 @@
                         clock::time_point now) {
     for (const auto& group : locations.groups) {
         for (const auto each : group.keys) {
-            remember(static_cast<routing::flow_key>(each), group.target, now);
+            record_location(static_cast<routing::flow_key>(each), group.target, now);
         }
     }
     wire::flow_locations_acknowledged acknowledged;
@@ -291,45 +298,46 @@
     shared_.out.send_peer(sender, std::move(message));
 }
 
-// A record of this instance's own goes before what a peer says: it is the original.
-void home::remember(routing::flow_key key, std::string_view target, clock::time_point now) {
+// Local records take precedence over a peer's report, because the report is derived from an owner's
+// record.
+void home::record_location(routing::flow_key key, std::string_view target, clock::time_point now) {
     if (shared_.flows.find(key) == nullptr && shared_.ownership.find(target) == nullptr) {
         shared_.locations.put(key, target, now);
     }
 }
 
-void home::expire(clock::time_point now) {
-    constexpr clock::duration interval{60'000};  // the scan reads every flow
+void home::expire_idle_flows(clock::time_point now) {
+    constexpr clock::duration interval{60'000};  // the scan visits every flow
     if (now - last_expiry_ < interval) {
         return;
     }
     last_expiry_ = now;
     for (const auto key : shared_.flows.unused_since(now - idle_timeout)) {
-        forget_flow(shared_.flows, shared_.loads, key);
+        erase_flow(shared_.flows, shared_.loads, key);
     }
     shared_.locations.erase_idle(now - idle_timeout);
 }
 
 void home::on_tick(clock::time_point now) {
     shared_.previous.on_tick(now);
-    expire(now);
+    expire_idle_flows(now);
     lookup_.on_tick(now);
     flow_query_responder_.on_tick(now);
-    end_old_placings(now);
+    expire_placement_attempts(now);
 }
 
-// Reads only what is due: at thousands of new flows a second the placings of the last seconds are
-// too many to be looked through on every tick.
-void home::end_old_placings(clock::time_point now) {
-    while (!placing_order_.empty()) {
-        const auto found = placing_.find(placing_order_.front());
-        if (found != placing_.end() && now - found->second.since < placing_timeout) {
+// Visits only attempts that are due: at thousands of new flows a second there are too many recent
+// attempts to scan all of them on every tick.
+void home::expire_placement_attempts(clock::time_point now) {
+    while (!placement_attempt_order_.empty()) {
+        const auto found = placement_attempts_.find(placement_attempt_order_.front());
+        if (found != placement_attempts_.end() && now - found->second.since < placement_timeout) {
             return;
         }
-        if (found != placing_.end()) {
-            placing_.erase(found);
+        if (found != placement_attempts_.end()) {
+            placement_attempts_.erase(found);
         }
-        placing_order_.pop_front();
+        placement_attempt_order_.pop_front();
     }
 }
 
--- a/libraries/flows/home.h
+++ b/libraries/flows/home.h
@@ -1,4 +1,5 @@
-// The home of a flow: places it when it opens and knows afterwards where it is.
+// The home of a flow chooses its target when the flow is opened, and routes its later packets to
+// that target.
 #pragma once
 
 #include <deque>
@@ -23,13 +24,13 @@
 
 namespace bramleytrack::flows {
 
-// A flow that nobody used for this long is forgotten here, not ended: should it be used after all,
-// it is looked up, and its target still knows it.
+// The record of a flow without packets for this long is dropped, but the flow is not ended: the
+// next packet starts a lookup, and the target still holds the flow.
 constexpr clock::duration idle_timeout{900'000};
 
 class home {
 public:
-    // What it needs of the instance.
+    // References to the parts of the instance that this class uses.
     struct shared_state {
         const identity& self;
         counters& counts;
@@ -50,12 +51,12 @@
     home(const home&) = delete;
     home& operator=(const home&) = delete;
 
-    // `content` has reached its flow's home.
+    // Handles a packet that has reached its flow's home.
     void handle(wire::forward content, clock::time_point now);
     void on_declined(const wire::placement_declined& declined, clock::time_point now);
     void on_query(std::string_view sender, const wire::flow_query& query, clock::time_point now);
     void on_query_answer(const wire::flow_query_answer& answer, clock::time_point now);
-    // Returns true when the reset concerns a lookup and no caller.
+    // Returns true if the reset answers a probe of a lookup and must not reach the caller.
     bool on_target_reset(const configuration::target& target, const wire::packet& content,
                          clock::time_point now);
     void on_locations(std::string_view sender, const wire::flow_locations& locations,
@@ -64,23 +65,23 @@
 
 private:
     const records::request* find_request(const wire::packet& content) const;
-    struct placing {
-        std::set<std::string, std::less<>> declined;  // targets that had no room
+    struct placement_attempt {
+        std::set<std::string, std::less<>> declined;  // targets that had no capacity
         clock::time_point since;
     };
 
     void place(wire::forward content, clock::time_point now);
     void open(wire::forward content, clock::time_point now);
-    void ask(const wire::flow_query& query, clock::time_point now);
-    void on_looked_up(wire::forward held, const std::optional<std::string>& target,
-                      clock::time_point now);
+    void send_query(const wire::flow_query& query, clock::time_point now);
+    void on_lookup_result(wire::forward held_packet, const std::optional<std::string>& target,
+                          clock::time_point now);
     bool may_be_open(const wire::forward& content, clock::time_point now) const;
-    void expire(clock::time_point now);
-    void end_old_placings(clock::time_point now);
-    void forward_to(std::string_view peer, wire::forward content);
-    bool is_of_other_service(std::string_view target, std::string_view service) const;
-    void remember(routing::flow_key key, std::string_view target, clock::time_point now);
-    std::string choose_target(const wire::forward& content, const placing& attempt,
+    void expire_idle_flows(clock::time_point now);
+    void expire_placement_attempts(clock::time_point now);
+    void forward_to_peer(std::string_view peer, wire::forward content);
+    bool belongs_to_other_service(std::string_view target, std::string_view service) const;
+    void record_location(routing::flow_key key, std::string_view target, clock::time_point now);
+    std::string choose_target(const wire::forward& content, const placement_attempt& attempt,
                               clock::time_point now) const;
 
     shared_state shared_;
@@ -88,9 +89,10 @@
     clock::time_point last_expiry_;
     lookup lookup_;
     flow_query_responder flow_query_responder_;
-    std::unordered_map<routing::flow_key, placing> placing_;
-    // Keys of placing_, oldest first; a key stands once for each time that its placing was renewed.
-    std::deque<routing::flow_key> placing_order_;
+    std::unordered_map<routing::flow_key, placement_attempt> placement_attempts_;
+    // Keys of placement_attempts_, oldest first. A key is repeated each time its attempt is
+    // renewed.
+    std::deque<routing::flow_key> placement_attempt_order_;
 };
 
 }  // namespace bramleytrack::flows
--- a/libraries/flows/location_announcer.cpp
+++ b/libraries/flows/location_announcer.cpp
@@ -8,9 +8,9 @@
 namespace bramleytrack::flows {
 namespace {
 
-constexpr clock::duration repeat_interval{500};
-// Later losses are made good by lookups.
-constexpr int max_copies = 5;
+constexpr clock::duration retransmit_interval{500};
+// After this many lost transmissions the flows are left to lookups.
+constexpr int max_transmissions = 5;
 constexpr std::size_t max_outstanding = 16;
 
 std::string home_of(const location_announcer::shared_state& shared, std::string_view service,
@@ -20,35 +20,35 @@
                            : shared.ownership.owner_of(*targets.front(), shared.peers, now);
 }
 
-std::uint32_t mark_of(const location_announcer::shared_state& shared, const std::string& home) {
+std::uint32_t id_of(const location_announcer::shared_state& shared, const std::string& home) {
     if (home.empty()) {
         return 0;
     }
     const auto* peer = shared.peers.find(home);
-    const auto life = peer == nullptr ? shared.self.incarnation : peer->incarnation;
-    const auto mark = hash_of(hash_of(home), static_cast<std::uint64_t>(life));
-    return static_cast<std::uint32_t>(mark) | 1U;
+    const auto incarnation = peer == nullptr ? shared.self.incarnation : peer->incarnation;
+    const auto hash = hash_of(hash_of(home), static_cast<std::uint64_t>(incarnation));
+    return static_cast<std::uint32_t>(hash) | 1U;
 }
 
 }  // namespace
 
-std::uint32_t mark_of_home(const location_announcer::shared_state& shared, std::string_view service,
-                           routing::flow_key key, clock::time_point now) {
-    return mark_of(shared, home_of(shared, service, key, now));
+std::uint32_t home_id_of(const location_announcer::shared_state& shared, std::string_view service,
+                         routing::flow_key key, clock::time_point now) {
+    return id_of(shared, home_of(shared, service, key, now));
 }
 
 void location_announcer::on_tick(clock::time_point now) {
-    // A scan that has begun is ended first: with a change every few seconds its end would never be
-    // reached otherwise.
-    if (is_scan_wanted_ && scan_.empty()) {
-        is_scan_wanted_ = false;
-        scan_.reserve(shared_.flows.size());
+    // A running scan is completed before the next one starts: with a change every few seconds the
+    // scan would otherwise never reach its end.
+    if (is_scan_pending_ && unscanned_keys_.empty()) {
+        is_scan_pending_ = false;
+        unscanned_keys_.reserve(shared_.flows.size());
         for (const auto& [key, each] : shared_.flows.all()) {
-            scan_.push_back(key);
+            unscanned_keys_.push_back(key);
         }
-        std::ranges::sort(scan_);  // the same order on every run
+        std::ranges::sort(unscanned_keys_);  // deterministic order
     }
-    repeat(now);
+    resend_due(now);
     scan(now);
 }
 
@@ -59,61 +59,64 @@
     batch next;
     std::size_t keys = 0;
     std::map<std::string, std::vector<std::int64_t>> by_target;
-    for (std::size_t i = 0; i < scanned_per_tick && !scan_.empty() && keys < keys_per_tick; ++i) {
-        const auto key = scan_.back();
-        const auto* known = shared_.flows.find(key);
-        if (known == nullptr || shared_.ownership.find(known->record.target) == nullptr) {
-            scan_.pop_back();
+    for (std::size_t i = 0;
+         i < max_scanned_per_tick && !unscanned_keys_.empty() && keys < max_keys_per_tick; ++i) {
+        const auto key = unscanned_keys_.back();
+        const auto* existing = shared_.flows.find(key);
+        if (existing == nullptr || shared_.ownership.find(existing->record.target) == nullptr) {
+            unscanned_keys_.pop_back();
             continue;
         }
-        const auto home = home_of(shared_, known->record.service_name, key, now);
-        const auto mark = mark_of(shared_, home);
-        const bool is_told = home.empty() || home == shared_.self.name || mark == known->home_mark;
-        if (is_told) {
-            scan_.pop_back();
+        const auto home = home_of(shared_, existing->record.service_name, key, now);
+        const auto home_id = id_of(shared_, home);
+        const bool is_up_to_date =
+            home.empty() || home == shared_.self.name || home_id == existing->home_id;
+        if (is_up_to_date) {
+            unscanned_keys_.pop_back();
             continue;
         }
         if (!next.home.empty() && next.home != home) {
-            break;  // one message a tick; the key stays for the next one
+            break;  // one message per tick; the next one starts with this key
         }
-        scan_.pop_back();
+        unscanned_keys_.pop_back();
         next.home = home;
-        next.home_mark = mark;
-        by_target[known->record.target].push_back(static_cast<std::int64_t>(key));
+        next.home_id = home_id;
+        by_target[existing->record.target].push_back(static_cast<std::int64_t>(key));
         ++keys;
     }
-    if (scan_.empty()) {
-        scan_.shrink_to_fit();
+    if (unscanned_keys_.empty()) {
+        unscanned_keys_.shrink_to_fit();
     }
     if (keys == 0) {
         return;
     }
-    for (auto& [target, listed] : by_target) {
+    for (auto& [target, target_keys] : by_target) {
         wire::flow_location_group group;
         group.target = target;
-        group.keys = std::move(listed);
+        group.keys = std::move(target_keys);
         next.content.groups.push_back(std::move(group));
     }
     next.content.batch = next_batch_++;
     send(outstanding_[next.content.batch] = std::move(next), now);
 }
 
-void location_announcer::send(batch& subject, clock::time_point now) {
-    subject.sent = now;
-    ++subject.copies;
+void location_announcer::send(batch& to_send, clock::time_point now) {
+    to_send.sent = now;
+    ++to_send.transmissions;
     wire::peer_message message;
-    message.__set_locations(subject.content);
-    shared_.out.send_peer(subject.home, std::move(message));
+    message.__set_locations(to_send.content);
+    shared_.out.send_peer(to_send.home, std::move(message));
 }
 
-void location_announcer::repeat(clock::time_point now) {
+void location_announcer::resend_due(clock::time_point now) {
     std::erase_if(outstanding_, [&](const auto& each) {
-        return each.second.copies >= max_copies && now - each.second.sent >= repeat_interval;
+        return each.second.transmissions >= max_transmissions &&
+               now - each.second.sent >= retransmit_interval;
     });
     for (auto& [number, each] : outstanding_) {
-        if (now - each.sent >= repeat_interval) {
+        if (now - each.sent >= retransmit_interval) {
             send(each, now);
-            return;  // one message a tick
+            return;  // one message per tick
         }
     }
 }
@@ -125,9 +128,9 @@
     }
     for (const auto& group : found->second.content.groups) {
         for (const auto key : group.keys) {
-            auto* known = shared_.flows.find(static_cast<routing::flow_key>(key));
-            if (known != nullptr && known->record.target == group.target) {
-                known->home_mark = found->second.home_mark;
+            auto* existing = shared_.flows.find(static_cast<routing::flow_key>(key));
+            if (existing != nullptr && existing->record.target == group.target) {
+                existing->home_id = found->second.home_id;
             }
         }
     }
--- a/libraries/flows/location_announcer.h
+++ b/libraries/flows/location_announcer.h
@@ -1,10 +1,12 @@
-// Tells the homes of flows where these are, after homes have moved.
+// Reports the locations of flows on owned targets to the homes of these flows after homes have
+// moved.
 //
-// A packet whose home knows nothing is looked up by queries, so announcements are no premise of any
-// promise: they spare the lookups of a busy fleet, and keep flows known whose target has fallen out
-// of their candidates. So they may be slow and are kept within the control budget: one message of
-// at most keys_per_tick keys a tick. Only flows whose home has changed since it was last told are
-// announced; a change that moves no home costs a scan and no message.
+// A home without a location for a packet finds the flow by a lookup, so correctness does not depend
+// on announcements. They avoid the lookups that a busy fleet would otherwise run after a change,
+// and they preserve the location of flows whose target is no longer among their candidates. They
+// may therefore be slow, and they are kept within the control traffic budget: one message of at
+// most max_keys_per_tick keys per tick. Only flows whose home has changed since its last
+// acknowledgement are announced; a change that moves no home costs a scan and no message.
 #pragma once
 
 #include <cstdint>
@@ -21,14 +23,14 @@
 
 namespace bramleytrack::flows {
 
-// 10 ticks a second and 10 bytes a key: under 5 KB a second.
-constexpr std::size_t keys_per_tick = 40;
-// 200,000 flows are looked through in 5 s.
-constexpr std::size_t scanned_per_tick = 4'000;
+// 10 ticks per second and 10 bytes per key: less than 5 KB/s.
+constexpr std::size_t max_keys_per_tick = 40;
+// 200,000 flows are scanned in 5 s.
+constexpr std::size_t max_scanned_per_tick = 4'000;
 
 class location_announcer {
 public:
-    // What it needs of the instance.
+    // References to the parts of the instance that this class uses.
     struct shared_state {
         const identity& self;
         const configuration::configuration& configuration;
@@ -40,34 +42,37 @@
 
     explicit location_announcer(const shared_state& shared) : shared_{shared} {}
 
-    // Homes may have moved.
-    void restart() { is_scan_wanted_ = true; }
+    // Schedules a scan of all flows, because homes may have moved.
+    void request_scan() { is_scan_pending_ = true; }
     void on_tick(clock::time_point now);
     void on_acknowledged(const wire::flow_locations_acknowledged& acknowledged);
-    bool is_idle() const { return scan_.empty() && outstanding_.empty() && !is_scan_wanted_; }
+    bool is_idle() const {
+        return unscanned_keys_.empty() && outstanding_.empty() && !is_scan_pending_;
+    }
 
 private:
     struct batch {
         std::string home;
-        std::uint32_t home_mark = 0;
+        std::uint32_t home_id = 0;
         wire::flow_locations content;
         clock::time_point sent;
-        int copies = 0;
+        int transmissions = 0;
     };
 
     void scan(clock::time_point now);
-    void repeat(clock::time_point now);
-    void send(batch& subject, clock::time_point now);
+    void resend_due(clock::time_point now);
+    void send(batch& to_send, clock::time_point now);
 
     shared_state shared_;
-    bool is_scan_wanted_ = false;
-    std::vector<routing::flow_key> scan_;        // keys that are still to be looked at
-    std::map<std::int64_t, batch> outstanding_;  // sent and not acknowledged, by batch number
+    bool is_scan_pending_ = false;
+    std::vector<routing::flow_key> unscanned_keys_;  // keys that the running scan has not visited
+    std::map<std::int64_t, batch> outstanding_;      // unacknowledged batches by number
     std::int64_t next_batch_ = 1;
 };
 
-// Identifies one life of a home; 0 is no home. Another life has other gaps and is told again.
-std::uint32_t mark_of_home(const location_announcer::shared_state& shared, std::string_view service,
-                           routing::flow_key key, clock::time_point now);
+// Identifies one incarnation of a home; 0 if there is no home. A restarted home has lost its
+// locations, so its id differs and the flows are announced to it again.
+std::uint32_t home_id_of(const location_announcer::shared_state& shared, std::string_view service,
+                         routing::flow_key key, clock::time_point now);
 
 }  // namespace bramleytrack::flows
--- a/libraries/instance/context.h
+++ b/libraries/instance/context.h
@@ -1,5 +1,5 @@
-// The state of one instance: each slice's own, in one place, so that the instance can hand each
-// slice references to just what it needs (its shared_state), and metrics can be read off.
+// The state of one instance, grouped so that each subsystem receives references to just the parts
+// that it uses (its shared_state) and metrics can be read from one place.
 #pragma once
 
 #include "configuration/configuration.h"
@@ -28,17 +28,17 @@
     identity self;
     counters counts;
     configuration::configuration configuration;
-    bool is_configuration_confirmed = false;  // the store has shown this very text here
-    configuration::history previous;          // configurations that were in force before
+    bool is_configuration_confirmed = false;  // this instance has read this version from the store
+    configuration::history previous;          // configurations that were in force earlier
     membership::peer_table peers;
     membership::ownership ownership;
     bool is_leaving = false;
     flows::flow_table flows;          // on targets that this instance owns
-    flows::location_table locations;  // of flows that this instance is the home of only
+    flows::location_table locations;  // of flows on targets of peers; this instance is their home
     records::request_table requests;
     load::target_loads loads;
     load::reported_loads reported_loads;
-    load::placement_memory placements;  // on peers' targets, by this home
+    load::placement_memory placements;  // flows that this home has placed on peers' targets
     outbox out;
 };
 
--- a/libraries/instance/instance.cpp
+++ b/libraries/instance/instance.cpp
@@ -36,39 +36,40 @@
                            .ownership = context_.ownership,
                            .flows = context_.flows,
                            .out = context_.out}},
-      zone_exit_{{.configuration = context_.configuration,
-                  .flows = context_.flows,
-                  .locations = context_.locations,
-                  .loads = context_.loads,
-                  .out = context_.out}},
-      owner_{{.self = context_.self,
-              .counts = context_.counts,
-              .configuration = context_.configuration,
-              .peers = context_.peers,
-              .ownership = context_.ownership,
-              .flows = context_.flows,
-              .requests = context_.requests,
-              .loads = context_.loads,
-              .reported_loads = context_.reported_loads,
-              .out = context_.out},
-             *this},
-      membership_{{.self = context_.self,
-                   .configuration = context_.configuration,
-                   .is_configuration_confirmed = context_.is_configuration_confirmed,
-                   .peers = context_.peers,
-                   .ownership = context_.ownership,
-                   .is_leaving = context_.is_leaving,
-                   .flows = context_.flows,
-                   .locations = context_.locations,
-                   .requests = context_.requests,
-                   .loads = context_.loads,
-                   .reported_loads = context_.reported_loads,
-                   .placements = context_.placements,
-                   .out = context_.out},
-                  [this](const configuration::target& target, membership::origin how) {
-                      owner_.on_gained(target, how, now_);
-                  },
-                  [this](const configuration::target& target) { owner_.on_merged(target, now_); }},
+      flow_resetter_{{.configuration = context_.configuration,
+                      .flows = context_.flows,
+                      .locations = context_.locations,
+                      .loads = context_.loads,
+                      .out = context_.out}},
+      target_owner_{{.self = context_.self,
+                     .counts = context_.counts,
+                     .configuration = context_.configuration,
+                     .peers = context_.peers,
+                     .ownership = context_.ownership,
+                     .flows = context_.flows,
+                     .requests = context_.requests,
+                     .loads = context_.loads,
+                     .reported_loads = context_.reported_loads,
+                     .out = context_.out},
+                    *this},
+      membership_{
+          {.self = context_.self,
+           .configuration = context_.configuration,
+           .is_configuration_confirmed = context_.is_configuration_confirmed,
+           .peers = context_.peers,
+           .ownership = context_.ownership,
+           .is_leaving = context_.is_leaving,
+           .flows = context_.flows,
+           .locations = context_.locations,
+           .requests = context_.requests,
+           .loads = context_.loads,
+           .reported_loads = context_.reported_loads,
+           .placements = context_.placements,
+           .out = context_.out},
+          [this](const configuration::target& target, membership::origin how) {
+              target_owner_.on_gained(target, how, now_);
+          },
+          [this](const configuration::target& target) { target_owner_.on_merged(target, now_); }},
       configuration_sync_{{.configuration = context_.configuration,
                            .is_configuration_confirmed = context_.is_configuration_confirmed,
                            .previous = context_.previous,
@@ -100,15 +101,16 @@
     if (is_reset && home_.on_target_reset(*target, content, now)) {
         return;
     }
-    on_target_content(*target, content, now);
+    route_target_packet(*target, content, now);
 }
 
-// Failure: a target answers the instance that sent it the request, which has handed it over since.
-// The answer would be lost and the new owner would say that the outcome is unknown.
-void instance::on_target_content(const configuration::target& target, const wire::packet& content,
-                                 clock::time_point now) {
+// A target answers the instance that sent it the request, which may have handed the target over
+// since. Without routing, the answer would be lost and the new owner would report the outcome as
+// unknown.
+void instance::route_target_packet(const configuration::target& target, const wire::packet& content,
+                                   clock::time_point now) {
     if (context_.ownership.find(target.name) != nullptr) {
-        owner_.on_target_packet(target.address, content, now);
+        target_owner_.on_target_packet(target.address, content, now);
         return;
     }
     if (context_.ownership.is_moving(target.name)) {
@@ -123,10 +125,10 @@
         return;
     }
     wire::peer_message message;
-    wire::target_packet passed_on;
-    passed_on.target = target.name;
-    passed_on.content = content;
-    message.__set_from_target(passed_on);
+    wire::target_packet relayed;
+    relayed.target = target.name;
+    relayed.content = content;
+    message.__set_from_target(relayed);
     context_.out.send_peer(owner, std::move(message));
 }
 
@@ -142,7 +144,7 @@
     }
     for (const auto& each : from_targets) {
         if (const auto* target = context_.configuration.find_target(each.target)) {
-            on_target_content(*target, each.content, now);
+            route_target_packet(*target, each.content, now);
         }
     }
 }
@@ -190,7 +192,7 @@
     if (message.__isset.from_target) {
         const auto* target = context_.configuration.find_target(message.from_target.target);
         if (target != nullptr && context_.ownership.find(target->name) != nullptr) {
-            owner_.on_target_packet(target->address, message.from_target.content, now);
+            target_owner_.on_target_packet(target->address, message.from_target.content, now);
         }
     }
     if (message.__isset.configuration_request) {
@@ -223,11 +225,11 @@
     begin_event(now);
     membership_.on_tick(now);
     route_released(now);
-    owner_.on_tick(now);
+    target_owner_.on_tick(now);
     home_.on_tick(now);
-    zone_exit_.on_tick();
+    flow_resetter_.on_tick();
     if (membership_.take_view_changed()) {
-        location_announcer_.restart();
+        location_announcer_.request_scan();
     }
     location_announcer_.on_tick(now);
 }
@@ -238,7 +240,7 @@
 
 void instance::to_owner(wire::forward content, clock::time_point now) {
     if (context_.ownership.find(content.target) != nullptr) {
-        owner_.handle(std::move(content), now);
+        target_owner_.handle(std::move(content), now);
         return;
     }
     router_.forward_to_owner(std::move(content), now);
--- a/libraries/instance/instance.h
+++ b/libraries/instance/instance.h
@@ -1,7 +1,7 @@
-// One balancer instance without I/O: events and times go in, actions come out.
+// One balancer instance without I/O: takes events and times, and returns actions.
 //
-// Deterministic: the same events at the same times give the same actions. It owns the slices by
-// duty and passes each event to the one that it concerns.
+// Deterministic: the same events at the same times give the same actions. Owns the subsystems and
+// dispatches each event to the one that handles it.
 #pragma once
 
 #include <span>
@@ -9,9 +9,9 @@
 #include "distribution/configuration_sync.h"
 #include "entry/plain_hashing.h"
 #include "entry/router.h"
+#include "flows/flow_resetter.h"
 #include "flows/home.h"
 #include "flows/location_announcer.h"
-#include "flows/zone_exit.h"
 #include "hand_over/membership_protocol.h"
 #include "instance/context.h"
 #include "requests/target_owner.h"
@@ -34,7 +34,7 @@
     void leave() { membership_.leave(); }
     bool may_stop() const { return membership_.may_stop(); }
 
-    // True once when the store has to be read whatever its version, see
+    // True once if the store has to be read regardless of its version, see
     // distribution::configuration_sync.
     bool take_store_wanted() { return configuration_sync_.take_store_wanted(); }
 
@@ -48,9 +48,9 @@
     void decline(const wire::placement_declined& declined, clock::time_point now) override;
     bool is_baseline() const { return context_.self.strategy == routing_strategy::plain_hashing; }
     void on_forward(wire::forward content, clock::time_point now);
-    // Passes what a target says to the instance that owns it, wherever it arrives.
-    void on_target_content(const configuration::target& target, const wire::packet& content,
-                           clock::time_point now);
+    // Routes a target's packet to the owner of the target, whichever instance receives it.
+    void route_target_packet(const configuration::target& target, const wire::packet& content,
+                             clock::time_point now);
     void begin_event(clock::time_point now);
     void dispatch_message(const wire::peer_message& message, clock::time_point now);
     void route_released(clock::time_point now);
@@ -60,11 +60,11 @@
     entry::plain_hashing baseline_;
     flows::home home_;
     flows::location_announcer location_announcer_;
-    flows::zone_exit zone_exit_;
-    requests::target_owner owner_;
+    flows::flow_resetter flow_resetter_;
+    requests::target_owner target_owner_;
     hand_over::membership_protocol membership_;
     distribution::configuration_sync configuration_sync_;
-    clock::time_point now_;  // of the event that is being handled
+    clock::time_point now_;  // time of the current event
 };
 
 }  // namespace bramleytrack
--- a/libraries/requests/target_owner.cpp
+++ b/libraries/requests/target_owner.cpp
@@ -4,7 +4,7 @@
 #include <array>
 
 #include "base/hash.h"
-#include "flows/forget_flow.h"
+#include "flows/erase_flow.h"
 #include "flows/location_announcer.h"
 #include "load/admission.h"
 #include "requests/work_of_request.h"
@@ -174,13 +174,13 @@
     record.in_doubt_until = content.is_new ? 0 : to_milliseconds(doubt);
     auto& added = shared_.flows.put(
         record, is_open ? flows::flow_state::opening : flows::flow_state::established, now);
-    added.home_mark = flows::mark_of_home({.self = shared_.self,
-                                           .configuration = shared_.configuration,
-                                           .peers = shared_.peers,
-                                           .ownership = shared_.ownership,
-                                           .flows = shared_.flows,
-                                           .out = shared_.out},
-                                          content.service_name, key, now);
+    added.home_id = flows::home_id_of({.self = shared_.self,
+                                       .configuration = shared_.configuration,
+                                       .peers = shared_.peers,
+                                       .ownership = shared_.ownership,
+                                       .flows = shared_.flows,
+                                       .out = shared_.out},
+                                      content.service_name, key, now);
     ++shared_.loads[content.target].connections;
     if (!is_open) {
         shared_.loads[content.target].inherited.on_recovered();
@@ -385,7 +385,7 @@
             give_up(subject, result_code::cancelled, clock::duration{0}, now);
         }
     }
-    flows::forget_flow(shared_.flows, shared_.loads, key);
+    flows::erase_flow(shared_.flows, shared_.loads, key);
 }
 
 }  // namespace bramleytrack::requests
--- a/libraries/requests/target_owner_replies.cpp
+++ b/libraries/requests/target_owner_replies.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <array>
 
-#include "flows/forget_flow.h"
+#include "flows/erase_flow.h"
 #include "requests/target_owner.h"
 #include "requests/work_of_request.h"
 #include "routing/candidates.h"
@@ -191,7 +191,7 @@
     if (shared_.loads[target.name].cold.on_lost_flow(now)) {
         log_cold_start(target, "lost flows");
     }
-    flows::forget_flow(shared_.flows, shared_.loads, key);
+    flows::erase_flow(shared_.flows, shared_.loads, key);
     shared_.out.send_caller(content);
 }
 
