--- a/libraries/entry/plain_hashing.h
+++ b/libraries/entry/plain_hashing.h
@@ -1,8 +1,8 @@
-// The baseline that the design is measured against: each instance sends a packet to the first
-// eligible candidate of its flow's key, keeps no record, and counts nothing.
+// Baseline for benchmarks: each instance sends a packet to the first eligible candidate of its
+// flow's key, without flow records and load counts.
 //
-// Never used in service: a drain, a new target or a zone that leaves moves flows to targets that
-// don't know them.
+// Not for production: a drain, an added target or a zone that is taken out moves flows to targets
+// that do not hold them.
 #pragma once
 
 #include "configuration/configuration.h"
@@ -13,7 +13,7 @@
 
 class plain_hashing {
 public:
-    // What it needs of the instance.
+    // References to the parts of the instance that this class uses.
     struct shared_state {
         counters& counts;
         const configuration::configuration& configuration;
--- a/libraries/entry/router.cpp
+++ b/libraries/entry/router.cpp
@@ -11,18 +11,18 @@
         shared_.out.drop(content, result_code::unknown_service);
         return;
     }
-    wire::forward first;
-    first.service_name = service->name;
-    first.role = wire::forward_role::to_home;
-    first.content = std::move(content);
-    forward_to_home(std::move(first), now);
+    wire::forward forwarded;
+    forwarded.service_name = service->name;
+    forwarded.role = wire::forward_role::to_home;
+    forwarded.content = std::move(content);
+    forward_to_home(std::move(forwarded), now);
 }
 
 void router::forward_to_home(wire::forward content, clock::time_point now) {
     const auto candidates = routing::candidates_of(shared_.configuration, content.service_name,
                                                    routing::key_of(content.content));
     if (candidates.empty()) {
-        give_up(content.content, result_code::no_eligible_target);
+        fail_packet(content.content, result_code::no_eligible_target);
         return;
     }
     if (shared_.ownership.is_moving(candidates.front()->name)) {
@@ -35,18 +35,18 @@
         return;
     }
     if (home.empty()) {
-        on_no_owner(candidates.front()->name, content.content, now);
+        handle_missing_owner(candidates.front()->name, content.content, now);
         return;
     }
-    without_owner_.erase(candidates.front()->name);
+    ownerless_since_.erase(candidates.front()->name);
     content.role = wire::forward_role::to_home;
-    pass_on(std::move(content), home);
+    forward_to_peer(std::move(content), home);
 }
 
 void router::forward_to_owner(wire::forward content, clock::time_point now) {
     const auto* target = shared_.configuration.find_target(content.target);
     if (target == nullptr) {
-        give_up(content.content, result_code::unknown_flow);
+        fail_packet(content.content, result_code::unknown_flow);
         return;
     }
     if (shared_.ownership.is_moving(target->name)) {
@@ -59,15 +59,15 @@
         return;
     }
     if (owner.empty()) {
-        on_no_owner(target->name, content.content, now);
+        handle_missing_owner(target->name, content.content, now);
         return;
     }
-    without_owner_.erase(target->name);
+    ownerless_since_.erase(target->name);
     content.role = wire::forward_role::to_owner;
-    pass_on(std::move(content), owner);
+    forward_to_peer(std::move(content), owner);
 }
 
-void router::pass_on(wire::forward content, std::string_view peer) {
+void router::forward_to_peer(wire::forward content, std::string_view peer) {
     if (++content.hops > max_hops) {
         shared_.out.drop(content.content, result_code::too_many_hops);
         return;
@@ -78,42 +78,43 @@
     shared_.out.send_peer(peer, std::move(message));
 }
 
-// Failure: an instance that has just started, or sees a target between two owners, tells a caller
-// "unknown" of a request that another instance has its answer of. Within the time that a takeover
-// lasts nothing has been given up: the caller's next copy finds the owner.
-void router::on_no_owner(const std::string& target, const wire::packet& subject,
-                         clock::time_point now) {
-    const auto since = without_owner_.try_emplace(target, now).first->second;
-    const bool is_request = subject.kind == wire::packet_kind::request;
+// An instance that has just started, or that sees a target between two owners, must not answer
+// "unknown" to a request whose answer another instance holds. So requests are dropped until
+// takeover_time has passed, and the caller's next copy reaches the new owner.
+void router::handle_missing_owner(const std::string& target, const wire::packet& packet,
+                                  clock::time_point now) {
+    const auto since = ownerless_since_.try_emplace(target, now).first->second;
+    const bool is_request = packet.kind == wire::packet_kind::request;
     if (is_request && now - since < takeover_time && can_be_taken_over(target, now)) {
-        shared_.out.drop(subject, result_code::zone_unreachable);
+        shared_.out.drop(packet, result_code::zone_unreachable);
         return;
     }
-    give_up(subject, result_code::zone_unreachable);
+    fail_packet(packet, result_code::zone_unreachable);
 }
 
-// Failure: all instances of a zone die, nobody can take its targets over, and requests on their
-// flows get no outcome before their deadlines. An instance that has just started hasn't heard of
-// the zone's instances yet and can't know.
+// If all instances of a zone are dead, no one can take over its targets, and waiting would leave
+// requests on their flows without an outcome until their deadlines. An instance that has just
+// started has not yet received heartbeats from the zone and cannot tell.
 bool router::can_be_taken_over(const std::string& target, clock::time_point now) const {
-    const auto* subject = shared_.configuration.find_target(target);
-    const bool knows_peers = now - shared_.self.started >= takeover_time;
-    return subject == nullptr || !knows_peers ||
-           !shared_.peers.eligible_owners(subject->zone, now).empty();
+    const auto* found = shared_.configuration.find_target(target);
+    const bool has_complete_view = now - shared_.self.started >= takeover_time;
+    return found == nullptr || !has_complete_view ||
+           !shared_.peers.eligible_owners(found->zone, now).empty();
 }
 
-// Failure: another copy of the same request may have taken a path that still works, so "not run"
-// could be false. Only the opening of a flow is refused here: no request precedes its acceptance.
-void router::give_up(const wire::packet& subject, result_code code) {
-    if (subject.kind == wire::packet_kind::open) {
-        shared_.out.refuse(subject, code, unreachable_retry_after);
+// Another copy of the same request may have taken a path that still works, so "not run" could be
+// false for a request. Only the opening of a flow is refused here, because no request precedes its
+// acceptance.
+void router::fail_packet(const wire::packet& packet, result_code code) {
+    if (packet.kind == wire::packet_kind::open) {
+        shared_.out.refuse(packet, code, unreachable_retry_after);
         return;
     }
-    if (subject.kind == wire::packet_kind::request) {
-        shared_.out.answer_unknown(subject, code);
+    if (packet.kind == wire::packet_kind::request) {
+        shared_.out.answer_unknown(packet, code);
         return;
     }
-    shared_.out.drop(subject, code);
+    shared_.out.drop(packet, code);
 }
 
 }  // namespace bramleytrack::entry
--- a/libraries/entry/router.h
+++ b/libraries/entry/router.h
@@ -1,4 +1,5 @@
-// First hop and forwarding: from a caller's packet to the flow's home, from there to the owner.
+// Forwards a caller's packet to the home of its flow, and from there to the owner of the flow's
+// target.
 #pragma once
 
 #include <string>
@@ -13,21 +14,22 @@
 
 namespace bramleytrack::entry {
 
-// A packet crosses at most this many instances: entry, home, owner, and one more for an ownership
-// that is moving. More means that two views disagree; the caller's retransmission settles it.
+// A packet passes at most this many instances: entry, home, owner, and one more while an ownership
+// moves. More hops mean that the views of two instances differ; the packet is dropped, and the
+// caller's retransmission is routed again.
 constexpr int max_hops = 4;
 
-// Come-back time of a flow whose home can't be reached: one failure detection.
+// Retry-After for a flow whose home is unreachable: the time to detect a failure.
 constexpr clock::duration unreachable_retry_after{1000};
 
-// A target without an owner gets one within this time: its owner's silence, one heartbeat and one
-// tick of the successor.
+// A target without an owner gets a new one within this time: dead_after for the old owner, one
+// heartbeat, and one tick of the successor.
 constexpr clock::duration takeover_time =
     membership::dead_after + membership::heartbeat_interval + clock::duration{500};
 
 class router {
 public:
-    // What it needs of the instance.
+    // References to the parts of the instance that this class uses.
     struct shared_state {
         const identity& self;
         counters& counts;
@@ -41,20 +43,22 @@
 
     void on_caller_packet(wire::packet content, clock::time_point now);
 
-    // Sends `content` to the owner of its flow's first candidate, which may be this instance.
+    // Forwards `content` to the owner of its flow's first candidate, which may be this instance.
     void forward_to_home(wire::forward content, clock::time_point now);
     void forward_to_owner(wire::forward content, clock::time_point now);
 
 private:
-    void pass_on(wire::forward content, std::string_view peer);
+    void forward_to_peer(wire::forward content, std::string_view peer);
     bool can_be_taken_over(const std::string& target, clock::time_point now) const;
-    void on_no_owner(const std::string& target, const wire::packet& subject, clock::time_point now);
-    void give_up(const wire::packet& subject, result_code code);
+    void handle_missing_owner(const std::string& target, const wire::packet& packet,
+                              clock::time_point now);
+    void fail_packet(const wire::packet& packet, result_code code);
 
     shared_state shared_;
     packet_path& path_;
-    // Since when no owner of these targets was seen; bounded by the configuration's targets.
-    std::unordered_map<std::string, clock::time_point> without_owner_;
+    // When each target was first seen without an owner; bounded by the number of configured
+    // targets.
+    std::unordered_map<std::string, clock::time_point> ownerless_since_;
 };
 
 }  // namespace bramleytrack::entry
