--- a/tests/support/session.cpp
+++ b/tests/support/session.cpp
@@ -161,7 +161,7 @@
         throw std::invalid_argument{"not a command: " + std::string{line}};
     }
     (this->*found->handle)(words, named);
-    settle();
+    deliver_pending();
 }
 
 void session::add_zone(const std::vector<std::string>& words, const options& /*named*/) {
@@ -173,7 +173,7 @@
 }
 
 void session::add_target(const std::vector<std::string>& words, const options& named) {
-    target_texts_[words.at(1)] = {
+    target_definitions_[words.at(1)] = {
         .zone = words.at(2), .service = words.at(3), .limits = named, .state = "active"};
 }
 
@@ -197,7 +197,7 @@
         core.core->on_instance_list(listed);
     }
     if (version_ > 0) {
-        added.core->on_configuration(text(), version_, now_);
+        added.core->on_configuration(configuration_text(), version_, now_);
     }
 }
 
@@ -206,17 +206,17 @@
     if (words.at(1) == "zone") {
         zones_.at(words.at(2)) = words.at(3);
     } else if (words.at(1) == "target") {
-        target_texts_.at(words.at(2)).state = words.at(3);
+        target_definitions_.at(words.at(2)).state = words.at(3);
     } else {
-        retired_[words.at(2)] = words.at(3);
+        configured_instance_states_[words.at(2)] = words.at(3);
     }
 }
 
 void session::remove_target(const std::vector<std::string>& words, const options& /*named*/) {
-    target_texts_.erase(words.at(1));
+    target_definitions_.erase(words.at(1));
 }
 
-std::string session::text() {
+std::string session::configuration_text() {
     using json = nlohmann::ordered_json;
     json root;
     root["zones"] = json::array();
@@ -233,7 +233,7 @@
         root["services"].push_back(entry);
     }
     root["targets"] = json::array();
-    for (const auto& [name, each] : target_texts_) {
+    for (const auto& [name, each] : target_definitions_) {
         json entry{{"name", name},
                    {"zone", each.zone},
                    {"service", each.service},
@@ -241,7 +241,7 @@
                    {"state", each.state}};
         for (const auto& [key, value] : each.limits) {
             if (key == "address") {
-                entry[key] = addresses_.address_of(value);  // that of another target
+                entry[key] = addresses_.address_of(value);  // the address of another target
                 continue;
             }
             entry[key] = key == "weight" ? json(std::stod(value)) : json(number(value));
@@ -249,20 +249,21 @@
         root["targets"].push_back(entry);
     }
     root["instances"] = json::array();
-    for (const auto& [name, state] : retired_) {
+    for (const auto& [name, state] : configured_instance_states_) {
         root["instances"].push_back({{"name", name}, {"state", state}});
     }
     return root.dump();
 }
 
-// apply [to=a,b]: a new version of the text reaches these instances (all when none is named).
+// apply [to=a,b]: delivers a new version of the configuration to these instances (all by default).
 void session::apply(const std::vector<std::string>& /*words*/, const options& named) {
     ++version_;
-    const auto wanted = "," + option_or(named, "to", "") + ",";
+    const auto receivers = "," + option_or(named, "to", "") + ",";
     for (auto& [name, each] : cores_) {
-        const bool is_meant = wanted == ",," || wanted.find("," + name + ",") != std::string::npos;
-        if (is_meant && is_running(name)) {
-            each.core->on_configuration(text(), version_, now_);
+        const bool is_receiver =
+            receivers == ",," || receivers.find("," + name + ",") != std::string::npos;
+        if (is_receiver && is_running(name)) {
+            each.core->on_configuration(configuration_text(), version_, now_);
         }
     }
 }
@@ -277,7 +278,7 @@
         for (auto& [name, each] : cores_) {
             if (is_running(name)) {
                 each.core->on_tick(now_);
-                settle();
+                deliver_pending();
             }
         }
     }
@@ -311,19 +312,19 @@
 void session::end_request(const std::vector<std::string>& words, const options& named) {
     const auto kind = words.front() == "answer" ? packet_kind::answer : packet_kind::shed;
     for (auto& [name, each] : targets_) {
-        const auto said = each.end(number(named.at("flow")), number(named.at("request")), kind);
-        if (said) {
-            reply(name, *said);
+        const auto response = each.end(number(named.at("flow")), number(named.at("request")), kind);
+        if (response) {
+            reply(name, *response);
             return;
         }
     }
-    write("nothing is running");
+    append_line("nothing is running");
 }
 
 void session::push(const std::vector<std::string>& /*words*/, const options& named) {
     for (auto& [name, each] : targets_) {
-        if (const auto said = each.push(number(named.at("flow")))) {
-            reply(name, *said);
+        if (const auto response = each.push(number(named.at("flow")))) {
+            reply(name, *response);
             return;
         }
     }
@@ -347,24 +348,25 @@
         add_instance({"instance", name, subject.zone}, named);
     } else {
         subject.is_paused = false;
-        for (auto& each : std::exchange(held_[name], {})) {
+        for (auto& each : std::exchange(held_deliveries_[name], {})) {
             in_flight_.push_back(std::move(each));
         }
     }
 }
 
-// cut A B [one_way=1]: messages from A to B are lost, and from B to A unless one_way is given.
+// cut A B [one_way=1]: drops messages from A to B, and from B to A unless one_way is given. mend A
+// B restores both.
 void session::cut(const std::vector<std::string>& words, const options& named) {
-    const std::pair there{words.at(1), words.at(2)};
-    const std::pair back{words.at(2), words.at(1)};
+    const std::pair forward_link{words.at(1), words.at(2)};
+    const std::pair reverse_link{words.at(2), words.at(1)};
     if (words.front() == "mend") {
-        cuts_.erase(there);
-        cuts_.erase(back);
+        cut_links_.erase(forward_link);
+        cut_links_.erase(reverse_link);
         return;
     }
-    cuts_.insert(there);
+    cut_links_.insert(forward_link);
     if (!named.contains("one_way")) {
-        cuts_.insert(back);
+        cut_links_.insert(reverse_link);
     }
 }
 
@@ -373,7 +375,7 @@
     return found != cores_.end() && !found->second.is_dead && !found->second.is_paused;
 }
 
-void session::settle() {
+void session::deliver_pending() {
     bool is_busy = true;
     while (is_busy) {
         is_busy = false;
@@ -381,10 +383,10 @@
             if (!is_running(name)) {
                 continue;
             }
-            for (const auto& wanted : each.core->take_actions()) {
+            for (const auto& action : each.core->take_actions()) {
                 is_busy = true;
-                std::visit([this, sender = name](const auto& effect) { carry_out(sender, effect); },
-                           wanted);
+                std::visit([this, sender = name](const auto& effect) { perform(sender, effect); },
+                           action);
             }
         }
         while (!in_flight_.empty()) {
@@ -393,11 +395,11 @@
             in_flight_.pop_front();
             const auto found = cores_.find(next.receiver);
             if (found == cores_.end() || found->second.is_dead ||
-                cuts_.contains({next.sender, next.receiver})) {
+                cut_links_.contains({next.sender, next.receiver})) {
                 continue;
             }
             if (found->second.is_paused) {
-                held_[next.receiver].push_back(std::move(next));
+                held_deliveries_[next.receiver].push_back(std::move(next));
                 continue;
             }
             found->second.core->on_peer_message(next.content, now_);
@@ -405,52 +407,52 @@
     }
 }
 
-void session::carry_out(const std::string& sender, const send_to_caller& wanted) {
-    caller_packets_.push_back(wanted.content);
-    write(sender + " -> caller: " + describe(wanted.content));
+void session::perform(const std::string& sender, const send_to_caller& action) {
+    caller_packets_.push_back(action.content);
+    append_line(sender + " -> caller: " + describe(action.content));
 }
 
-void session::carry_out(const std::string& sender, const send_to_target& wanted) {
-    const auto& target = addresses_.name_of(wanted.address);
-    if (wanted.content.kind != packet_kind::report_wanted) {
-        write(sender + " -> " + target + ": " + describe(wanted.content));
+void session::perform(const std::string& sender, const send_to_target& action) {
+    const auto& target = addresses_.name_of(action.address);
+    if (action.content.kind != packet_kind::report_wanted) {
+        append_line(sender + " -> " + target + ": " + describe(action.content));
     }
-    if (const auto said = targets_[target].receive(sender, wanted.content)) {
-        reply(target, *said);
+    if (const auto response = targets_[target].receive(sender, action.content)) {
+        reply(target, *response);
     }
 }
 
-void session::reply(const std::string& target, const fake_target::reply& said) {
-    if (said.content.kind != packet_kind::report) {
-        write(target + " -> " + said.instance + ": " + describe(said.content));
+void session::reply(const std::string& target, const fake_target::reply& response) {
+    if (response.content.kind != packet_kind::report) {
+        append_line(target + " -> " + response.instance + ": " + describe(response.content));
     }
-    if (is_running(said.instance)) {
-        cores_.at(said.instance)
-            .core->on_target_packet(addresses_.address_of(target), said.content, now_);
+    if (is_running(response.instance)) {
+        cores_.at(response.instance)
+            .core->on_target_packet(addresses_.address_of(target), response.content, now_);
     }
 }
 
-void session::carry_out(const std::string& sender, const send_to_peer& wanted) {
+void session::perform(const std::string& sender, const send_to_peer& action) {
     ++peer_messages_;
-    if (wanted.content.__isset.forwarded) {
+    if (action.content.__isset.forwarded) {
         ++forwards_;
     } else {
-        control_bytes_ += static_cast<std::int64_t>(encoder_.encode(wanted.content, {}).size());
+        control_bytes_ += static_cast<std::int64_t>(encoder_.encode(action.content, {}).size());
     }
-    if (!wanted.content.__isset.beat) {
-        write(sender + " -> " + wanted.name + ": " + describe(wanted.content));
+    if (!action.content.__isset.beat) {
+        append_line(sender + " -> " + action.name + ": " + describe(action.content));
     }
-    in_flight_.push_back({sender, wanted.name, wanted.content});
+    in_flight_.push_back({sender, action.name, action.content});
 }
 
-void session::carry_out(const std::string& sender, const log_event& wanted) {
-    write(sender + " log: " + wanted.line());
+void session::perform(const std::string& sender, const log_event& action) {
+    append_line(sender + " log: " + action.line());
 }
 
-// Measurements are no part of the transcript.
-void session::carry_out(const std::string& /*sender*/, const request_ended& /*wanted*/) {}
+// Measurements are not part of the transcript.
+void session::perform(const std::string& /*sender*/, const request_ended& /*action*/) {}
 
-void session::write(const std::string& line) {
+void session::append_line(const std::string& line) {
     transcript_.push_back(std::to_string(to_milliseconds(now_) - 1'000'000) + " " + line);
 }
 
--- a/tests/support/session.h
+++ b/tests/support/session.h
@@ -1,8 +1,8 @@
-// Several cores with fakes at their interfaces, driven step by step. Messages between peers arrive
-// at once and in order; there is no model of a network or a fabric.
+// Runs several instances with fakes at their interfaces, step by step. Messages between peers are
+// delivered immediately and in order; neither a network nor a fabric is modelled.
 //
-// run() takes one line of a script; docs/TESTING.md lists the commands. What callers, targets and
-// peers get, and what is logged, is written to the transcript, heartbeats and reports left out.
+// run() executes one line of a script; docs/TESTING.md lists the commands. Packets to callers,
+// targets and peers and logged events are written to the transcript, except heartbeats and reports.
 #pragma once
 
 #include <deque>
@@ -23,20 +23,20 @@
 
 class session {
 public:
-    // Throws std::invalid_argument for a line that is no command.
+    // Throws std::invalid_argument if the line is not a command.
     void run(std::string_view line);
 
-    // Lines since the last call.
+    // Returns the lines written since the last call.
     std::vector<std::string> take_transcript() { return std::exchange(transcript_, {}); }
 
     clock::time_point now() const { return now_; }
     const instance& core(const std::string& name) const { return *cores_.at(name).core; }
     fake_target& target(const std::string& name) { return targets_[name]; }
-    // Everything that callers got, in order.
+    // All packets sent to callers, in order.
     const std::vector<wire::packet>& caller_packets() const { return caller_packets_; }
-    // Peer messages sent, by sender and receiver: for counts of control traffic.
+    // Number of peer messages sent, including heartbeats and forwarded packets.
     std::int64_t peer_messages() const { return peer_messages_; }
-    // Bytes of all peer messages but forwarded packets, as they would be on the wire.
+    // Encoded size of all peer messages except forwarded packets.
     std::int64_t control_bytes() const { return control_bytes_; }
     std::int64_t forwards() const { return forwards_; }
 
@@ -44,13 +44,13 @@
 
 private:
     using options = std::map<std::string, std::string>;
-    struct member_core {
+    struct hosted_instance {
         std::unique_ptr<instance> core;
         std::string zone;
         bool is_paused = false;
         bool is_dead = false;
     };
-    struct target_text {
+    struct target_definition {
         std::string zone;
         std::string service;
         std::map<std::string, std::string> limits;
@@ -81,29 +81,30 @@
     void set_fault(const std::vector<std::string>& words, const options& named);
     void cut(const std::vector<std::string>& words, const options& named);
 
-    std::string text();
-    void settle();
-    void carry_out(const std::string& sender, const send_to_caller& wanted);
-    void carry_out(const std::string& sender, const send_to_target& wanted);
-    void carry_out(const std::string& sender, const send_to_peer& wanted);
-    void carry_out(const std::string& sender, const log_event& wanted);
-    void carry_out(const std::string& sender, const request_ended& wanted);
-    void reply(const std::string& target, const fake_target::reply& said);
-    void write(const std::string& line);
+    std::string configuration_text();
+    void deliver_pending();
+    void perform(const std::string& sender, const send_to_caller& action);
+    void perform(const std::string& sender, const send_to_target& action);
+    void perform(const std::string& sender, const send_to_peer& action);
+    void perform(const std::string& sender, const log_event& action);
+    void perform(const std::string& sender, const request_ended& action);
+    void reply(const std::string& target, const fake_target::reply& response);
+    void append_line(const std::string& line);
     bool is_running(const std::string& name) const;
 
     clock::time_point now_ = to_time_point(1'000'000);
     std::int64_t version_ = 0;
-    std::map<std::string, std::string> zones_;                             // name: state
-    std::map<std::string, std::pair<std::string, std::string>> services_;  // address, dependencies
-    std::map<std::string, target_text> target_texts_;
-    std::map<std::string, std::string> retired_;
-    std::map<std::string, member_core> cores_;
+    std::map<std::string, std::string> zones_;  // state by name
+    // Address and dependency by service name.
+    std::map<std::string, std::pair<std::string, std::string>> services_;
+    std::map<std::string, target_definition> target_definitions_;
+    std::map<std::string, std::string> configured_instance_states_;
+    std::map<std::string, hosted_instance> cores_;
     std::map<std::string, fake_target> targets_;
     target_addresses addresses_;
-    std::set<std::pair<std::string, std::string>> cuts_;  // sender and receiver
+    std::set<std::pair<std::string, std::string>> cut_links_;  // pairs of sender and receiver
     std::deque<delivery> in_flight_;
-    std::map<std::string, std::deque<delivery>> held_;  // for paused instances
+    std::map<std::string, std::deque<delivery>> held_deliveries_;  // for paused instances
     std::vector<std::string> transcript_;
     std::vector<wire::packet> caller_packets_;
     std::int64_t peer_messages_ = 0;
--- a/tests/support/target_addresses.h
+++ b/tests/support/target_addresses.h
@@ -1,4 +1,4 @@
-// Loopback addresses for targets that tests know by name.
+// Assigns loopback addresses to targets, which tests refer to by name.
 #pragma once
 
 #include <map>
@@ -8,7 +8,7 @@
 
 class target_addresses {
 public:
-    // The same address each time; the port tells the order in which names came up.
+    // Returns the same address on each call; ports are assigned in the order of first use.
     const std::string& address_of(const std::string& name) {
         auto& address = addresses_[name];
         if (address.empty()) {
