--- a/tests/flows_planned_changes_test.cpp
+++ b/tests/flows_planned_changes_test.cpp
@@ -1,4 +1,5 @@
-// Flows: no change that operators make breaks an established flow, a zone taken out aside.
+// Flows: configuration changes by operators break no established flow, except those of a zone that
+// is taken out.
 #include <gtest/gtest.h>
 
 #include "support/flow_fleet.h"
@@ -17,8 +18,8 @@
 
 class planned_changes : public ::testing::TestWithParam<planned_change> {};
 
-// A crew's board freezes just when an operator changes the text. Homes move by the change, at
-// different moments on different instances, and the new home knows nothing of the flow.
+// Guards against losing flows when an operator changes the configuration: the change moves homes,
+// at different times on different instances, and the new home has no location of the flow.
 TEST_P(planned_changes, breaks_no_established_flow) {
     flow_fleet fleet{2, 3, 4};
     fleet.open(1, flows);
@@ -28,11 +29,11 @@
         fleet.run("advance 700");
     }
     fleet.run("advance 15000");
-    fleet.forget_transcript();
+    fleet.clear_transcript();
     fleet.send("data", 1, flows);
     fleet.run("advance 3000");
-    EXPECT_EQ(fleet.broken(1, flows), 0);
-    EXPECT_EQ(fleet.arrived("data"), flows);
+    EXPECT_EQ(fleet.count_broken(1, flows), 0);
+    EXPECT_EQ(fleet.take_delivered_count("data"), flows);
 }
 
 const std::string new_target = "target board-a-9 a board slots=100 connections=1000";
@@ -66,22 +67,23 @@
 INSTANTIATE_TEST_SUITE_P(all, planned_changes, ::testing::ValuesIn(all_changes()),
                          [](const auto& information) { return information.param.name; });
 
-TEST(planned_changes_twice, a_removed_target_keeps_its_flows_when_its_owner_retires_or_dies) {
-    // The text no longer names a target, but boards are still open on it; then the instance that
-    // owns it goes. Nobody else would take over a target that isn't in the text.
+TEST(planned_changes_twice, a_removed_target_keeps_its_flows_when_its_owner_leaves_or_dies) {
+    // The configuration no longer names a target that still holds flows, and then the instance that
+    // owns it leaves or dies. Other instances take over only configured targets, so its flows would
+    // be lost.
     for (const std::string verb : {"leave", "kill"}) {
         flow_fleet fleet{1, 3, 4};
         fleet.open(1, flows);
         fleet.run("remove board-a-1");
         fleet.run("apply");
         fleet.run("advance 1000");
-        fleet.fail(verb, "a-3");
+        fleet.change_instance(verb, "a-3");
         fleet.run("advance 5000");
-        fleet.forget_transcript();
+        fleet.clear_transcript();
         fleet.send("data", 1, flows);
         fleet.run("advance 3000");
-        EXPECT_EQ(fleet.broken(1, flows), 0) << verb;
-        EXPECT_EQ(fleet.arrived("data"), flows) << verb;
+        EXPECT_EQ(fleet.count_broken(1, flows), 0) << verb;
+        EXPECT_EQ(fleet.take_delivered_count("data"), flows) << verb;
     }
 }
 
--- a/tests/flows_properties_test.cpp
+++ b/tests/flows_properties_test.cpp
@@ -1,7 +1,7 @@
 // Flows: random sequences of faults and changes on a few instances, with the promises as invariants
 // after each step. Deterministic by default; RC_PARAMS="seed=N" build/bramleytrack_tests
-// --gtest_filter='flows_properties*' plays another seed, and RC_PARAMS="reproduce=..." the failure
-// that the message of a failed run names.
+// --gtest_filter='flows_properties*' runs another seed, and RC_PARAMS="reproduce=..." repeats the
+// failure that the message of a failed run names.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -17,8 +17,8 @@
 
 using wire::packet_kind;
 
-// Two zones with three instances each; board with four targets, plan with two. Even flows are for
-// board, odd ones for plan.
+// Two zones with three instances each; service board with four targets and service plan with two.
+// Even flows belong to board, odd ones to plan.
 class random_session {
 public:
     random_session() {
@@ -44,18 +44,19 @@
     void step(int kind, int argument) {
         using handler = void (random_session::*)(int);
         static constexpr std::array<handler, 13> table{
-            &random_session::open,    &random_session::open,   &random_session::open,
-            &random_session::data,    &random_session::data,   &random_session::copy,
-            &random_session::kill,    &random_session::revive, &random_session::pause,
-            &random_session::change,  &random_session::apply,  &random_session::zone,
+            &random_session::open,    &random_session::open,    &random_session::open,
+            &random_session::data,    &random_session::data,    &random_session::resend_open,
+            &random_session::kill,    &random_session::recover, &random_session::pause,
+            &random_session::change,  &random_session::apply,   &random_session::set_zone,
             &random_session::advance,
         };
         (this->*table.at(static_cast<std::size_t>(kind)))(argument);
         check();
     }
 
-    // Everything runs again; each flow that nobody was told to give up must work.
-    void settle() {
+    // Restarts and resumes all instances; then each established flow that was neither refused nor
+    // reset must work.
+    void recover_all_and_check() {
         for (const auto& name : instances_) {
             if (dead_.contains(name)) {
                 session_.run("restart " + name);
@@ -82,7 +83,7 @@
             arrived.insert(line.substr(line.find("-> ") + 3));
         }
         for (const int flow : established_) {
-            const auto expected = place_of_.at(flow) + ": data flow=" + std::to_string(flow);
+            const auto expected = target_of_flow_.at(flow) + ": data flow=" + std::to_string(flow);
             const bool is_served = ended_.contains(flow) || arrived.contains(expected);
             RC_ASSERT(is_served);
         }
@@ -93,16 +94,16 @@
                     const std::string& weight) {
         session_.run("target " + name + " " + zone + " " + service +
                      " slots=9 connections=999 weight=" + weight);
-        zone_of_[name] = zone;
+        zone_of_target_[name] = zone;
     }
 
-    bool is_up(const std::string& name) const {
+    bool is_running(const std::string& name) const {
         return !dead_.contains(name) && !paused_.contains(name);
     }
 
-    void send(const std::string& kind, int flow, int salt) {
-        const auto& via = instances_[static_cast<std::size_t>(salt) % instances_.size()];
-        if (is_up(via)) {
+    void send(const std::string& kind, int flow, int selector) {
+        const auto& via = instances_[static_cast<std::size_t>(selector) % instances_.size()];
+        if (is_running(via)) {
             session_.run(kind + " flow=" + std::to_string(flow) + " via=" + via +
                          " service=" + (flow % 2 == 0 ? "board" : "plan"));
         }
@@ -123,16 +124,16 @@
         }
     }
 
-    // The caller hasn't heard yet and sends its opening packet again. Left out is a copy that comes
-    // after the flow's zone was taken out: it opens the flow anew in another zone, see
+    // Sends a copy of an opening packet, as a caller without a reply does. Copies after the flow's
+    // zone was taken out are excluded: such a copy opens the flow again in another zone, see
     // docs/PROMISES.md.
-    void copy(int argument) {
-        constexpr clock::duration patience{5'000};
+    void resend_open(int argument) {
+        constexpr clock::duration retransmission_time{5'000};
         if (last_flow_ > 0) {
             const int flow = std::max(1, last_flow_ - argument % 3);
-            const bool is_before_exit = opened_at_[flow] <= zone_left_at_;
-            if (!ended_.contains(flow) && !is_before_exit &&
-                session_.now() - opened_at_[flow] < patience) {
+            const bool is_before_zone_out = opened_at_[flow] <= zone_out_at_;
+            if (!ended_.contains(flow) && !is_before_zone_out &&
+                session_.now() - opened_at_[flow] < retransmission_time) {
                 send("open", flow, argument);
             }
         }
@@ -140,13 +141,13 @@
 
     void kill(int argument) {
         const auto& name = instances_[static_cast<std::size_t>(argument) % instances_.size()];
-        if (is_up(name) && others_up(name)) {
+        if (is_running(name) && zone_has_other_running_instance(name)) {
             session_.run("kill " + name);
             dead_.insert(name);
         }
     }
 
-    void revive(int argument) {
+    void recover(int argument) {
         const auto& name = instances_[static_cast<std::size_t>(argument) % instances_.size()];
         if (dead_.erase(name) > 0) {
             session_.run("restart " + name);
@@ -157,15 +158,15 @@
 
     void pause(int argument) {
         const auto& name = instances_[static_cast<std::size_t>(argument) % instances_.size()];
-        if (is_up(name) && others_up(name)) {
+        if (is_running(name) && zone_has_other_running_instance(name)) {
             session_.run("pause " + name);
             paused_.insert(name);
         }
     }
 
-    bool others_up(const std::string& name) const {
+    bool zone_has_other_running_instance(const std::string& name) const {
         return std::ranges::any_of(instances_, [&](const std::string& other) {
-            return other != name && other.front() == name.front() && is_up(other);
+            return other != name && other.front() == name.front() && is_running(other);
         });
     }
 
@@ -186,12 +187,12 @@
         session_.run(argument % 2 == 0 ? "apply" : "apply to=" + name);
     }
 
-    void zone(int argument) {
-        out_ = argument % 3 == 0 ? "a" : "";
-        session_.run("set zone a " + std::string{out_.empty() ? "in" : "out"});
-        if (!out_.empty()) {
-            was_out_ = true;
-            zone_left_at_ = session_.now();
+    void set_zone(int argument) {
+        out_zone_ = argument % 3 == 0 ? "a" : "";
+        session_.run("set zone a " + std::string{out_zone_.empty() ? "in" : "out"});
+        if (!out_zone_.empty()) {
+            was_zone_out_ = true;
+            zone_out_at_ = session_.now();
         }
         session_.run("apply");
     }
@@ -208,40 +209,41 @@
                 ended_.insert(flow);
             }
             if (packet.kind == packet_kind::reset && ended_.insert(flow).second) {
-                const auto place = place_of_.find(flow);
-                const bool is_in_zone = place == place_of_.end() || zone_of_[place->second] == "a";
-                RC_ASSERT(was_out_);
+                const auto entry = target_of_flow_.find(flow);
+                const bool is_in_zone =
+                    entry == target_of_flow_.end() || zone_of_target_[entry->second] == "a";
+                RC_ASSERT(was_zone_out_);
                 RC_ASSERT(is_in_zone);
             }
         }
-        for (const auto& [name, zone] : zone_of_) {
+        for (const auto& [name, zone] : zone_of_target_) {
             for (int flow = 1; flow <= last_flow_; ++flow) {
                 if (!session_.target(name).knows(flow)) {
                     continue;
                 }
                 RC_ASSERT(name.starts_with(flow % 2 == 0 ? "board" : "plan"));
-                const auto [place, is_new] = place_of_.try_emplace(flow, name);
-                RC_ASSERT(place->second == name);
+                const auto [entry, is_new] = target_of_flow_.try_emplace(flow, name);
+                RC_ASSERT(entry->second == name);
             }
         }
     }
 
     testing::session session_;
     std::vector<std::string> instances_;
-    std::map<std::string, std::string> zone_of_;  // of targets
+    std::map<std::string, std::string> zone_of_target_;  // of targets
     std::set<std::string> dead_;
     std::set<std::string> paused_;
-    std::string out_;
-    bool was_out_ = false;
-    clock::time_point zone_left_at_;
+    std::string out_zone_;
+    bool was_zone_out_ = false;
+    clock::time_point zone_out_at_;
     int last_flow_ = 0;
     std::map<int, clock::time_point> opened_at_;
-    std::map<int, std::string> place_of_;  // where each flow was first seen
+    std::map<int, std::string> target_of_flow_;  // first target that held each flow
     std::set<int> established_;
     std::set<int> ended_;  // refused or reset
 };
 
-RC_GTEST_PROP(flows_properties, flows_stay_whole_and_at_one_target_through_faults, ()) {
+RC_GTEST_PROP(flows_properties, flows_survive_faults_and_stay_on_one_target, ()) {
     constexpr int kinds = 13;
     const auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
         rc::gen::pair(rc::gen::inRange(0, kinds), rc::gen::inRange(0, 10'000)));
@@ -249,13 +251,13 @@
     for (const auto& [kind, argument] : steps) {
         session.step(kind, argument);
     }
-    session.settle();
+    session.recover_all_and_check();
 }
 
-// Boards freeze and their crews must open them anew. Weights and targets change often, so that the
-// target of a flow is no candidate under any configuration that is remembered; then the home moves,
-// and the new one finds the flow nowhere. Found by seed 7 with max_success=200 max_size=150.
-TEST(flows_properties, a_flow_is_found_though_its_target_is_no_candidate_any_more) {
+// Weights and targets change so often that the target of a flow is not a candidate under any
+// configuration in the history; then the home moves, and the new home must not conclude that the
+// flow is gone. Found by seed 7 with max_success=200 max_size=150.
+TEST(flows_properties, a_flow_is_found_though_its_target_is_no_longer_a_candidate) {
     const std::vector<std::pair<int, int>> steps{
         {12, 1685}, {10, 8555}, {0, 6171},  {3, 2934},  {12, 7930}, {1, 2734},  {4, 8875},
         {5, 8383},  {2, 2174},  {3, 8511},  {3, 2961},  {2, 8126},  {12, 4865}, {1, 747},
@@ -272,7 +274,7 @@
     for (const auto& [kind, argument] : steps) {
         session.step(kind, argument);
     }
-    session.settle();
+    session.recover_all_and_check();
 }
 
 }  // namespace
--- a/tests/flows_recovery_test.cpp
+++ b/tests/flows_recovery_test.cpp
@@ -1,4 +1,5 @@
-// Flows: an established flow is found again after instances died, and is never at two targets.
+// Flows: an established flow is found again after instances have died, and is never held by two
+// targets.
 #include <gtest/gtest.h>
 
 #include "support/flow_fleet.h"
@@ -12,94 +13,95 @@
 constexpr int flows = 40;
 
 TEST(flows_recovery, every_flow_survives_the_kill_of_any_instance) {
-    // A crew's board freezes after a balancer has died. The home of the flow died and with it the
-    // only record that the flow was placed on its second candidate; the new home sends the packet
-    // to the first candidate, whose reset ends the flow.
+    // The home of a flow dies, and with it the only record that the flow was placed on its second
+    // candidate. A new home that sends the packet to the first candidate gets a reset, which would
+    // end the flow.
     for (const std::string victim : {"a-1", "a-2", "a-3"}) {
         flow_fleet fleet;
         fleet.open(1, flows);
-        fleet.fail("kill", victim);
+        fleet.change_instance("kill", victim);
         fleet.run("advance 4000");
-        fleet.forget_transcript();
+        fleet.clear_transcript();
         fleet.send("data", 1, flows);
         fleet.run("advance 2000");
-        EXPECT_EQ(fleet.broken(1, flows), 0) << victim;
-        EXPECT_EQ(fleet.arrived("data"), flows) << victim;
+        EXPECT_EQ(fleet.count_broken(1, flows), 0) << victim;
+        EXPECT_EQ(fleet.take_delivered_count("data"), flows) << victim;
     }
 }
 
 TEST(flows_recovery, every_flow_survives_the_loss_of_two_instances_in_one_second) {
-    // A rack goes and takes two of three instances along. For many flows the owners of several
-    // candidates are gone at once, so records rule out nothing and the targets have to be asked.
+    // Two of three instances die together. For many flows the owners of several candidates are gone
+    // at once, so records rule out nothing and the targets have to be probed.
     flow_fleet fleet;
     fleet.open(1, flows);
-    fleet.fail("kill", "a-1");
+    fleet.change_instance("kill", "a-1");
     fleet.run("advance 500");
-    fleet.fail("kill", "a-3");
+    fleet.change_instance("kill", "a-3");
     fleet.run("advance 4000");
-    fleet.forget_transcript();
+    fleet.clear_transcript();
     fleet.send("data", 1, flows);
     fleet.run("advance 2000");
-    EXPECT_EQ(fleet.broken(1, flows), 0);
-    EXPECT_EQ(fleet.arrived("data"), flows);
+    EXPECT_EQ(fleet.count_broken(1, flows), 0);
+    EXPECT_EQ(fleet.take_delivered_count("data"), flows);
 }
 
 TEST(flows_recovery, every_flow_survives_kill_and_restart_under_the_same_address_twice) {
-    // The supervisor restarts a balancer that crashes, and it crashes again. Its second life knows
-    // nothing of the flows of the first, but answers under the same name and address.
+    // An instance crashes repeatedly and is restarted each time. The new incarnation has no flow
+    // records, but answers under the same name and address.
     flow_fleet fleet;
     fleet.open(1, flows);
     for (int round = 0; round < 2; ++round) {
-        fleet.fail("kill", "a-3");
+        fleet.change_instance("kill", "a-3");
         fleet.run("advance 3000");
-        fleet.fail("restart", "a-3");
+        fleet.change_instance("restart", "a-3");
         fleet.run("advance 4000");
-        fleet.forget_transcript();
+        fleet.clear_transcript();
         fleet.send("data", 1, flows);
         fleet.run("advance 2000");
-        EXPECT_EQ(fleet.broken(1, flows), 0) << round;
-        EXPECT_EQ(fleet.arrived("data"), flows) << round;
+        EXPECT_EQ(fleet.count_broken(1, flows), 0) << round;
+        EXPECT_EQ(fleet.take_delivered_count("data"), flows) << round;
     }
 }
 
 TEST(flows_recovery, every_flow_survives_a_pause_of_its_owner) {
-    // A virtual machine is paused for seconds and wakes up: its records are stale and dropped, and
-    // packets that waited in its sockets arrive late.
+    // An instance is paused for seconds and resumes: its records are stale and dropped, and packets
+    // that were queued in its sockets arrive late.
     flow_fleet fleet;
     fleet.open(1, flows);
-    fleet.fail("pause", "a-3");
+    fleet.change_instance("pause", "a-3");
     fleet.run("advance 5000");
     fleet.send("data", 1, flows);
-    fleet.fail("resume", "a-3");
+    fleet.change_instance("resume", "a-3");
     fleet.run("advance 5000");
-    fleet.forget_transcript();
+    fleet.clear_transcript();
     fleet.send("data", 1, flows);
     fleet.run("advance 2000");
-    EXPECT_EQ(fleet.broken(1, flows), 0);
-    EXPECT_EQ(fleet.arrived("data"), flows);
+    EXPECT_EQ(fleet.count_broken(1, flows), 0);
+    EXPECT_EQ(fleet.take_delivered_count("data"), flows);
 }
 
 TEST(flows_recovery, a_late_copy_of_an_opening_packet_opens_no_second_flow) {
-    // A lodgement is billed twice: the opening packet was sent again just when the home died, the
-    // new home knew nothing of the flow and placed it on another target.
+    // A caller retransmits its opening packet just when the home has died. A new home without a
+    // record of the flow would place it on another target, and the caller's work would be done
+    // twice.
     for (const std::string victim : {"a-1", "a-2", "a-3"}) {
         flow_fleet fleet;
         fleet.open(1, flows);
-        fleet.fail("kill", victim);
+        fleet.change_instance("kill", victim);
         fleet.run("advance 3000");
-        // In another order than before, or the same loads lead to the same choices by chance.
+        // In reverse order, because equal loads in the same order would lead to the same choices by
+        // chance.
         for (int flow = flows; flow >= 1; --flow) {
             fleet.open(flow, flow);
         }
         fleet.run("advance 4000");
-        EXPECT_EQ(fleet.broken(1, flows), 0) << victim;
+        EXPECT_EQ(fleet.count_broken(1, flows), 0) << victim;
     }
 }
 
 TEST(flows_recovery, copies_that_meet_two_configurations_open_one_flow) {
-    // An operator changes weights. Some instances have the new text, others the old one, and the
-    // two groups compute different homes for a new flow. The caller's first copy reaches one group
-    // and the second copy the other: each home places the flow.
+    // Instances with the old and the new weights compute different homes for a new flow. Copies of
+    // its opening packet that reach both groups must not make each home place the flow.
     for (int offset = 0; offset < 3; ++offset) {
         flow_fleet fleet{1, 6, 8};
         fleet.run("target board-a-1 a board slots=100 connections=1000 weight=4");
@@ -113,64 +115,66 @@
             }
         }
         fleet.run("advance 5000");
-        EXPECT_EQ(fleet.broken(1, flows), 0) << offset;
+        EXPECT_EQ(fleet.count_broken(1, flows), 0) << offset;
     }
 }
 
-TEST(flows_recovery, a_flow_that_is_gone_is_reset_once_nobody_knows_it) {
-    // A caller sends on a flow that was closed long ago. It must hear so, or it waits for ever.
+TEST(flows_recovery, a_flow_that_no_target_holds_is_reset) {
+    // A caller sends on a flow that was closed long ago. Without a reset it would wait forever.
     flow_fleet fleet;
     fleet.run("data flow=7 via=a-1");
-    EXPECT_EQ(fleet.told_callers(packet_kind::reset), 0);  // a newer configuration may know it
+    // No reset yet: a newer configuration may name the target of the flow.
+    EXPECT_EQ(fleet.count_sent_to_callers(packet_kind::reset), 0);
     fleet.run("advance 1500");
-    EXPECT_EQ(fleet.told_callers(packet_kind::reset), 1);
+    EXPECT_EQ(fleet.count_sent_to_callers(packet_kind::reset), 1);
 }
 
 TEST(flows_recovery, late_resets_of_other_candidates_end_no_flow) {
-    // After a crash a target that was asked about a flow says twice that it doesn't know it. The
-    // second reset must not reach the caller, whose flow lives on another target.
+    // A target that is probed twice about a flow sends two resets. The second must not reach the
+    // caller, whose flow is on another target.
     flow_fleet fleet;
     fleet.open(1, flows);
-    fleet.fail("kill", "a-3");
+    fleet.change_instance("kill", "a-3");
     fleet.run("advance 3000");
     fleet.send("data", 1, flows);
     fleet.send("data", 1, flows);
     fleet.run("advance 300");
     fleet.send("data", 1, flows);
     fleet.run("advance 3000");
-    EXPECT_EQ(fleet.told_callers(packet_kind::reset), 0);
+    EXPECT_EQ(fleet.count_sent_to_callers(packet_kind::reset), 0);
 }
 
-TEST(flows_recovery, a_cut_between_zones_breaks_no_flow) {
-    // Two zones lose each other, in one direction first, and an instance dies meanwhile. Flows that
-    // can't be reached stay in doubt; none may be declared gone, and all work after the mend.
+TEST(flows_recovery, a_partition_between_zones_breaks_no_flow) {
+    // Two zones are partitioned, first in one direction, and an instance dies meanwhile. Flows that
+    // cannot be reached stay in doubt: none may be declared gone, and all work after the partition
+    // ends.
     flow_fleet fleet{2, 2, 2};
     fleet.open(1, flows);
     for (const std::string option : {" one_way=1", ""}) {
-        for (const std::string there : {"a-1", "a-2"}) {
-            for (const std::string back : {"b-1", "b-2"}) {
-                fleet.run("cut " + there + " " + back + option);
+        for (const std::string instance_a : {"a-1", "a-2"}) {
+            for (const std::string instance_b : {"b-1", "b-2"}) {
+                fleet.run("cut " + instance_a + " " + instance_b + option);
             }
         }
         fleet.run("advance 3000");
         fleet.send("data", 1, flows);
         fleet.run("advance 4000");
     }
-    fleet.fail("kill", "b-1");
+    fleet.change_instance("kill", "b-1");
     fleet.run("advance 3000");
     fleet.send("data", 1, flows);
     fleet.run("advance 4000");
-    for (const std::string there : {"a-1", "a-2"}) {
-        for (const std::string back : {"b-1", "b-2"}) {
-            fleet.run("mend " + there + " " + back);
+    for (const std::string instance_a : {"a-1", "a-2"}) {
+        for (const std::string instance_b : {"b-1", "b-2"}) {
+            fleet.run("mend " + instance_a + " " + instance_b);
         }
     }
     fleet.run("advance 3000");
-    fleet.forget_transcript();
+    fleet.clear_transcript();
     fleet.send("data", 1, flows);
     fleet.run("advance 3000");
-    EXPECT_EQ(fleet.broken(1, flows), 0);
-    EXPECT_EQ(fleet.arrived("data"), flows);
+    EXPECT_EQ(fleet.count_broken(1, flows), 0);
+    EXPECT_EQ(fleet.take_delivered_count("data"), flows);
 }
 
 }  // namespace
--- a/tests/flows_service_identity_test.cpp
+++ b/tests/flows_service_identity_test.cpp
@@ -11,7 +11,7 @@
 
 constexpr int flows = 20;
 
-// board and plan with two targets each, flows 1 to 20 open on board.
+// Services board and plan with two targets each; flows 1 to 20 are open on board.
 class two_services : public ::testing::Test {
 protected:
     two_services() {
@@ -34,7 +34,7 @@
         }
     }
 
-    // Lines of packets to targets whose name begins with `start`, since the last call.
+    // Number of packets to targets whose name begins with `start`, since the last call.
     int packets_to(const std::string& start) {
         const auto lines = session_.take_transcript();
         return static_cast<int>(std::ranges::count_if(lines, [&](const std::string& line) {
@@ -42,7 +42,7 @@
         }));
     }
 
-    int told(wire::packet_kind kind, result_code code) const {
+    int count_sent_to_callers(wire::packet_kind kind, result_code code) const {
         return static_cast<int>(
             std::ranges::count_if(session_.caller_packets(), [&](const wire::packet& each) {
                 return each.kind == kind && each.code == static_cast<int>(code);
@@ -53,19 +53,21 @@
 };
 
 TEST_F(two_services, an_address_that_moves_to_another_service_takes_no_flow_along) {
-    // Operators give the address of board to plan. Packets of open boards still come to it, and
-    // some instances have the new text already; none may reach a target of plan.
+    // The address of board is reassigned to plan. Packets of open flows of board still arrive for
+    // it, and some instances have the new configuration earlier than others; none may reach a
+    // target of plan.
     session_.run("service board 10.0.0.9:443");
     session_.run("service plan 10.0.0.1:443");
-    for (const auto* to : {"apply to=a-2", "apply"}) {
-        session_.run(to);
+    for (const auto* command : {"apply to=a-2", "apply"}) {
+        session_.run(command);
         session_.take_transcript();
         send("data", "plan");
-        EXPECT_EQ(packets_to("plan"), 0) << to;
+        EXPECT_EQ(packets_to("plan"), 0) << command;
         session_.run("advance 2000");
-        EXPECT_EQ(packets_to("plan"), 0) << to;
+        EXPECT_EQ(packets_to("plan"), 0) << command;
     }
-    // An opening packet is for the service that has the address now, also with an old flow number.
+    // An opening packet belongs to the service that has the address now, even with a flow number
+    // used before.
     session_.run("advance 12000");
     session_.take_transcript();
     send("open", "plan");
@@ -80,9 +82,9 @@
 }
 
 TEST_F(two_services, a_target_that_moves_to_another_service_ends_its_flows) {
-    // Operators move a host from board to plan. Packets of its boards would reach a host of plan;
-    // their callers have to hear that the flow is over, or the boards freeze.
-    const auto on_it = session_.target("board-1").flows();
+    // A target moves from board to plan. Packets of its flows would reach a target of plan, so the
+    // flows are reset; without the reset their callers would wait without an answer.
+    const auto flows_on_target = session_.target("board-1").flows();
     session_.run("target board-1 a plan slots=9 connections=99");
     session_.run("apply");
     session_.take_transcript();
@@ -91,13 +93,15 @@
     send("data", "board");
     session_.run("advance 3000");
     EXPECT_EQ(packets_to("board-1"), 0);
-    EXPECT_GE(told(wire::packet_kind::reset, result_code::wrong_service), static_cast<int>(on_it));
-    EXPECT_GT(on_it, 0U);
+    EXPECT_GE(count_sent_to_callers(wire::packet_kind::reset, result_code::wrong_service),
+              static_cast<int>(flows_on_target));
+    EXPECT_GT(flows_on_target, 0U);
 }
 
-TEST_F(two_services, a_target_that_is_replaced_under_its_address_gets_none_of_its_flows) {
-    // A host is removed and its address goes to a new host of plan before its boards have ended.
-    const auto on_it = session_.target("board-1").flows();
+TEST_F(two_services, a_target_that_reuses_an_address_gets_no_flow_of_the_previous_one) {
+    // A target is removed, and its address goes to a new target of plan before its flows have
+    // ended.
+    const auto flows_on_target = session_.target("board-1").flows();
     session_.run("remove board-1");
     session_.run("target plan-3 a plan slots=9 connections=99 address=board-1");
     session_.run("apply");
@@ -105,7 +109,7 @@
     send("data", "board");
     session_.run("advance 4000");
     EXPECT_EQ(packets_to("board-1: data"), 0);
-    EXPECT_GT(on_it, 0U);
+    EXPECT_GT(flows_on_target, 0U);
 }
 
 }  // namespace
--- a/tests/support/flow_fleet.cpp
+++ b/tests/support/flow_fleet.cpp
@@ -19,7 +19,7 @@
             session_.run("instance " + instances_.back() + " " + name);
         }
     }
-    running_ = instances_;
+    running_instances_ = instances_;
     run("apply");
     run("advance 15000");
 }
@@ -36,22 +36,23 @@
 
 void flow_fleet::send(std::string_view kind, int first, int last) {
     for (int flow = first; flow <= last; ++flow) {
-        const auto& via = running_[static_cast<std::size_t>(flow) % running_.size()];
+        const auto& via =
+            running_instances_[static_cast<std::size_t>(flow) % running_instances_.size()];
         run(std::string{kind} + " flow=" + std::to_string(flow) + " via=" + via +
             (kind == "request" ? " request=1" : ""));
     }
 }
 
-void flow_fleet::fail(std::string_view verb, const std::string& instance) {
+void flow_fleet::change_instance(std::string_view verb, const std::string& instance) {
     run(std::string{verb} + " " + instance);
     if (verb == "resume" || verb == "restart") {
-        running_.push_back(instance);
+        running_instances_.push_back(instance);
     } else {
-        std::erase(running_, instance);
+        std::erase(running_instances_, instance);
     }
 }
 
-std::vector<std::string> flow_fleet::places_of(int flow) {
+std::vector<std::string> flow_fleet::targets_holding(int flow) {
     std::vector<std::string> result;
     std::ranges::copy_if(targets_, std::back_inserter(result), [&](const std::string& name) {
         return session_.target(name).knows(flow);
@@ -59,21 +60,21 @@
     return result;
 }
 
-int flow_fleet::broken(int first, int last) {
+int flow_fleet::count_broken(int first, int last) {
     int count = 0;
     for (int flow = first; flow <= last; ++flow) {
         const bool was_reset =
             std::ranges::any_of(session_.caller_packets(), [flow](const wire::packet& packet) {
                 return packet.flow == flow && packet.kind == wire::packet_kind::reset;
             });
-        if (was_reset || places_of(flow).size() != 1) {
+        if (was_reset || targets_holding(flow).size() != 1) {
             ++count;
         }
     }
     return count;
 }
 
-int flow_fleet::arrived(std::string_view kind) {
+int flow_fleet::take_delivered_count(std::string_view kind) {
     int count = 0;
     for (const auto& line : transcript_) {
         for (const auto& target : targets_) {
@@ -89,7 +90,7 @@
     return count;
 }
 
-int flow_fleet::told_callers(wire::packet_kind kind) const {
+int flow_fleet::count_sent_to_callers(wire::packet_kind kind) const {
     return static_cast<int>(
         std::ranges::count(session_.caller_packets(), kind, &wire::packet::kind));
 }
