--- a/benchmarks/flows_benchmark.cpp
+++ b/benchmarks/flows_benchmark.cpp
@@ -1,4 +1,4 @@
-// What one flow costs in memory at its owner and at its home.
+// Memory per flow at its owner and at its home.
 #include <benchmark/benchmark.h>
 #include <malloc.h>
 
--- a/benchmarks/packet_path_benchmark.cpp
+++ b/benchmarks/packet_path_benchmark.cpp
@@ -1,4 +1,4 @@
-// What one packet costs in the core and in the codec: the slopes of docs/CAPACITY.md.
+// Cost of one packet in the core and in the codec; docs/CAPACITY.md uses the slopes.
 #include <benchmark/benchmark.h>
 
 #include <memory>
@@ -23,7 +23,8 @@
     return packet;
 }
 
-// One instance that owns every target of one zone: the whole path inside one process.
+// Returns one instance that owns every target of one zone, so that the whole path is inside one
+// process.
 std::unique_ptr<instance> sole_owner(int services, int targets) {
     const auto start = to_time_point(1'000'000);
     auto core = std::make_unique<instance>(identity{.name = "a",
@@ -69,7 +70,8 @@
 }
 BENCHMARK(encode_and_decode_forward);
 
-// A data packet from its arrival to the action that sends it to its target; targets as argument.
+// Time from the arrival of a data packet to the action that sends it to its target, by number of
+// targets.
 void data_packet_to_target(benchmark::State& state) {
     const auto targets = static_cast<int>(state.range(0));
     auto core = sole_owner(1, targets);
@@ -87,7 +89,7 @@
 }
 BENCHMARK(data_packet_to_target)->Arg(4)->Arg(14)->Arg(100)->Arg(1000);
 
-// Opening of new flows until the core holds as many as the argument.
+// Time to open as many new flows as the argument says on an instance without flows.
 void open_flows(benchmark::State& state) {
     const auto flows = state.range(0);
     const auto now = to_time_point(1'020'000);
