--- a/libraries/net/http_client.cpp
+++ b/libraries/net/http_client.cpp
@@ -11,12 +11,13 @@
 namespace {
 
 constexpr double milliseconds_per_second = 1000.0;
-// An answer holds a page of the store: 500 items, or a megabyte that is a third longer in base64.
-constexpr std::size_t max_answer_size = std::size_t{4} * 1024 * 1024;
-// A connection that has been idle for longer may have been forgotten by whatever lies between.
-constexpr clock::duration longest_idle{10'000};
+// The largest response is a page of the store: 500 items, or 1 MB of values, which base64 makes a
+// third larger.
+constexpr std::size_t max_response_size = std::size_t{4} * 1024 * 1024;
+// After a longer idle time, a NAT or firewall on the path may have dropped the connection's state.
+constexpr clock::duration max_idle_time{10'000};
 
-std::string head_of(const http_call& call) {
+std::string format_request_head(const http_call& call) {
     std::string text =
         call.method + " " + call.path + " HTTP/1.1\r\nHost: " + to_string(call.address) + "\r\n";
     if (!call.body.empty() || call.method != "GET") {
@@ -35,33 +36,33 @@
           address_{address},
           readable_{owner.loop_},
           writable_{owner.loop_},
-          expiry_{owner.loop_} {
+          timeout_timer_{owner.loop_} {
         settings_.on_body = &connection::on_body;
         settings_.on_message_complete = &connection::on_complete;
     }
 
-    bool is_idle_for(const sockaddr_in& address) const {
+    bool is_reusable_for(const sockaddr_in& address) const {
         return is_idle_ && address.sin_addr.s_addr == address_.sin_addr.s_addr &&
-               address.sin_port == address_.sin_port && clock::now() - idle_since_ < longest_idle;
+               address.sin_port == address_.sin_port && clock::now() - idle_since_ < max_idle_time;
     }
-    bool has_ended() const { return has_ended_; }
+    bool is_closed() const { return is_closed_; }
 
-    void begin(http_call wanted, http_callback done) {
+    void send_request(http_call request, http_callback done) {
         is_reused_ = socket_.is_open();
         is_idle_ = false;
-        has_answer_begun_ = false;
-        call_ = std::move(wanted);
+        has_response_data_ = false;
+        call_ = std::move(request);
         done_ = std::move(done);
         result_ = {};
         http_parser_init(&parser_, HTTP_RESPONSE);
         parser_.data = this;
-        output_ = head_of(call_) + call_.body;
-        expiry_.set<connection, &connection::on_expiry>(this);
-        expiry_.start(static_cast<double>(call_.limit.count()) / milliseconds_per_second);
+        output_ = format_request_head(call_) + call_.body;
+        timeout_timer_.set<connection, &connection::on_timeout>(this);
+        timeout_timer_.start(static_cast<double>(call_.timeout.count()) / milliseconds_per_second);
         if (!is_reused_ && !connect()) {
-            // The caller must not be called back before its own call has returned.
-            expiry_.stop();
-            expiry_.start(0.0);
+            // The callback must not run before call() has returned.
+            timeout_timer_.stop();
+            timeout_timer_.start(0.0);
             return;
         }
         if (is_reused_) {
@@ -100,16 +101,16 @@
         std::string input;
         const bool is_open = read_available(socket_.get(), input);
         if (!input.empty() && !is_idle_) {
-            has_answer_begun_ = true;
+            has_response_data_ = true;
             const auto parsed =
                 http_parser_execute(&parser_, &settings_, input.data(), input.size());
-            const bool is_broken =
+            const bool is_malformed =
                 HTTP_PARSER_ERRNO(&parser_) != HPE_OK && HTTP_PARSER_ERRNO(&parser_) != HPE_PAUSED;
-            if (is_broken || result_.body.size() > max_answer_size) {
+            if (is_malformed || result_.body.size() > max_response_size) {
                 fail();
                 return;
             }
-            if (is_complete_) {
+            if (is_response_complete_) {
                 finish(parsed == input.size() && is_open);
                 return;
             }
@@ -119,8 +120,8 @@
         }
     }
 
-    void on_expiry(ev::timer& /*watcher*/, int /*events*/) {
-        is_reused_ = false;  // no second try: the time is over
+    void on_timeout(ev::timer& /*watcher*/, int /*events*/) {
+        is_reused_ = false;  // prevents a retry: the timeout covers the whole call
         fail();
     }
 
@@ -131,42 +132,42 @@
 
     static int on_complete(http_parser* parser) {
         auto& self = *static_cast<connection*>(parser->data);
-        self.is_complete_ = true;
+        self.is_response_complete_ = true;
         self.result_.status = static_cast<int>(parser->status_code);
         http_parser_pause(parser, 1);
         return 0;
     }
 
-    void finish(bool may_keep) {
-        is_complete_ = false;
-        expiry_.stop();
+    void finish(bool may_keep_open) {
+        is_response_complete_ = false;
+        timeout_timer_.stop();
         http_parser_pause(&parser_, 0);
-        const bool is_kept = may_keep && http_should_keep_alive(&parser_) != 0;
-        if (is_kept) {
+        const bool stays_open = may_keep_open && http_should_keep_alive(&parser_) != 0;
+        if (stays_open) {
             is_idle_ = true;
             idle_since_ = clock::now();
         } else {
-            end();
+            close();
         }
-        deliver(std::move(result_));
+        invoke_callback(std::move(result_));
     }
 
-    // Failure: a kept connection was closed by the other end while it was idle, and the call would
-    // fail though the other end is well. A read is repeated once on a new connection; a write
-    // isn't, since it may have taken effect.
+    // The server may close a keep-alive connection while it is idle; the next call on it would
+    // then fail although the server is healthy. A GET is retried once on a new connection. Any
+    // other method isn't retried, since the request may have taken effect.
     void fail() {
         const bool may_repeat =
-            is_reused_ && !has_answer_begun_ && !is_idle_ && call_.method == "GET";
+            is_reused_ && !has_response_data_ && !is_idle_ && call_.method == "GET";
         const bool was_idle = is_idle_;
-        end();
+        close();
         if (may_repeat) {
-            owner_.begin(std::move(call_), std::move(done_), false);
+            owner_.send_request(std::move(call_), std::move(done_), false);
         } else if (!was_idle) {
-            deliver({});
+            invoke_callback({});
         }
     }
 
-    void deliver(http_result result) {
+    void invoke_callback(http_result result) {
         const auto done = std::move(done_);
         done_ = nullptr;
         if (done) {
@@ -174,14 +175,14 @@
         }
     }
 
-    void end() {
+    void close() {
         readable_.stop();
         writable_.stop();
-        expiry_.stop();
+        timeout_timer_.stop();
         socket_ = descriptor{};
         is_idle_ = false;
-        has_ended_ = true;
-        owner_.collector_.start();
+        is_closed_ = true;
+        owner_.cleanup_.start();
     }
 
     http_client& owner_;
@@ -189,7 +190,7 @@
     descriptor socket_;
     ev::io readable_;
     ev::io writable_;
-    ev::timer expiry_;
+    ev::timer timeout_timer_;
     http_parser parser_{};
     http_parser_settings settings_{};
     http_call call_;
@@ -197,71 +198,72 @@
     http_result result_;
     std::string output_;
     clock::time_point idle_since_;
-    bool is_idle_ = false;           // open, no call in progress
-    bool is_reused_ = false;         // has served a call before this one
-    bool has_answer_begun_ = false;  // of the call in progress
-    bool is_complete_ = false;       // its answer is
-    bool has_ended_ = false;
+    bool is_idle_ = false;               // open, no call in progress
+    bool is_reused_ = false;             // has served a call before this one
+    bool has_response_data_ = false;     // of the call in progress
+    bool is_response_complete_ = false;  // of the call in progress
+    bool is_closed_ = false;
 };
 
-http_client::http_client(ev::loop_ref loop) : loop_{loop}, collector_{loop} {
-    collector_.set<http_client, &http_client::collect_ended>(this);
+http_client::http_client(ev::loop_ref loop) : loop_{loop}, cleanup_{loop} {
+    cleanup_.set<http_client, &http_client::destroy_closed_connections>(this);
 }
 
 http_client::~http_client() {
-    collector_.stop();
+    cleanup_.stop();
 }
 
-void http_client::collect_ended() {
-    std::erase_if(connections_, [](const auto& each) { return each->has_ended(); });
-    collector_.stop();
+void http_client::destroy_closed_connections() {
+    std::erase_if(connections_, [](const auto& each) { return each->is_closed(); });
+    cleanup_.stop();
 }
 
 http_client::connection* http_client::find_idle(const sockaddr_in& address) {
     const auto found = std::ranges::find_if(
-        connections_, [&](const auto& each) { return each->is_idle_for(address); });
+        connections_, [&](const auto& each) { return each->is_reusable_for(address); });
     return found == connections_.end() ? nullptr : found->get();
 }
 
-void http_client::call(http_call wanted, http_callback done) {
-    begin(std::move(wanted), std::move(done), true);
+void http_client::call(http_call request, http_callback done) {
+    send_request(std::move(request), std::move(done), true);
 }
 
-void http_client::begin(http_call wanted, http_callback done, bool may_reuse) {
-    auto* chosen = may_reuse ? find_idle(wanted.address) : nullptr;
-    if (chosen == nullptr) {
-        connections_.push_back(std::make_unique<connection>(*this, wanted.address));
-        chosen = connections_.back().get();
+void http_client::send_request(http_call request, http_callback done, bool may_reuse) {
+    auto* selected = may_reuse ? find_idle(request.address) : nullptr;
+    if (selected == nullptr) {
+        connections_.push_back(std::make_unique<connection>(*this, request.address));
+        selected = connections_.back().get();
     }
-    chosen->begin(std::move(wanted), std::move(done));
+    selected->send_request(std::move(request), std::move(done));
 }
 
-void http_client::start(std::string_view method, std::string_view url, std::string body,
-                        clock::duration limit, http_callback done) {
+void http_client::call_url(std::string_view method, std::string_view url, std::string body,
+                           clock::duration timeout, http_callback done) {
     constexpr std::string_view scheme = "http://";
-    const auto rest = url.starts_with(scheme) ? url.substr(scheme.size()) : std::string_view{};
-    const auto slash = std::min(rest.find('/'), rest.size());
-    const auto address = parse_address(rest.substr(0, slash));
+    const auto authority_and_path =
+        url.starts_with(scheme) ? url.substr(scheme.size()) : std::string_view{};
+    const auto slash = std::min(authority_and_path.find('/'), authority_and_path.size());
+    const auto address = parse_address(authority_and_path.substr(0, slash));
     if (!address) {
         done({});
         return;
     }
-    const auto path = rest.substr(slash);
+    const auto path = authority_and_path.substr(slash);
     call({.method = std::string{method},
           .address = *address,
           .path = path.empty() ? "/" : std::string{path},
           .body = std::move(body),
-          .limit = limit},
+          .timeout = timeout},
          std::move(done));
 }
 
-void http_client::get(std::string_view url, clock::duration limit, http_callback done) {
-    start("GET", url, {}, limit, std::move(done));
+void http_client::get(std::string_view url, clock::duration timeout, http_callback done) {
+    call_url("GET", url, {}, timeout, std::move(done));
 }
 
-void http_client::put(std::string_view url, std::string body, clock::duration limit,
+void http_client::put(std::string_view url, std::string body, clock::duration timeout,
                       http_callback done) {
-    start("PUT", url, std::move(body), limit, std::move(done));
+    call_url("PUT", url, std::move(body), timeout, std::move(done));
 }
 
 }  // namespace bramleytrack::net
--- a/libraries/net/http_client.h
+++ b/libraries/net/http_client.h
@@ -1,4 +1,4 @@
-// HTTP/1.1 requests on the loop, parsed by http_parser, over connections that are kept open.
+// Asynchronous HTTP/1.1 client on the event loop, with keep-alive connections and http_parser.
 #pragma once
 
 #include <ev++.h>
@@ -16,7 +16,7 @@
 
 struct http_result {
     int status =
-        0;  // 0: no answer (refused, timed out, cut off); the request may have taken effect
+        0;  // 0: no response (refused, timed out, reset); the request may have taken effect
     std::string body;
 };
 
@@ -25,9 +25,9 @@
 struct http_call {
     std::string method = "GET";
     sockaddr_in address{};
-    std::string path;  // with its query
+    std::string path;  // including the query string
     std::string body;
-    clock::duration limit{0};  // for the whole call
+    clock::duration timeout{0};  // from the call to the complete response
 };
 
 class http_client {
@@ -37,24 +37,25 @@
     http_client(const http_client&) = delete;
     http_client& operator=(const http_client&) = delete;
 
-    void call(http_call wanted, http_callback done);
+    void call(http_call request, http_callback done);
 
-    // For URLs of the form http://ip:port/path; any other gets no answer.
-    void get(std::string_view url, clock::duration limit, http_callback done);
-    void put(std::string_view url, std::string body, clock::duration limit, http_callback done);
+    // Accept URLs of the form http://ip:port/path; for any other `done` is called at once with
+    // status 0.
+    void get(std::string_view url, clock::duration timeout, http_callback done);
+    void put(std::string_view url, std::string body, clock::duration timeout, http_callback done);
 
 private:
     class connection;
 
-    void start(std::string_view method, std::string_view url, std::string body,
-               clock::duration limit, http_callback done);
+    void call_url(std::string_view method, std::string_view url, std::string body,
+                  clock::duration timeout, http_callback done);
     connection* find_idle(const sockaddr_in& address);
-    void begin(http_call wanted, http_callback done, bool may_reuse);
-    void collect_ended();
+    void send_request(http_call request, http_callback done, bool may_reuse);
+    void destroy_closed_connections();
 
     ev::loop_ref loop_;
     std::vector<std::unique_ptr<connection>> connections_;
-    ev::idle collector_;  // connections that have ended are destroyed outside their own callbacks
+    ev::idle cleanup_;  // destroys closed connections outside of their own callbacks
 };
 
 }  // namespace bramleytrack::net
--- a/libraries/net/http_server.cpp
+++ b/libraries/net/http_server.cpp
@@ -15,12 +15,13 @@
 namespace bramleytrack::net {
 namespace {
 
-// The largest body that a client may send: the store holds values up to a megabyte.
+// The largest request body: the store holds values of up to 1 MB.
 constexpr std::size_t max_body_size = std::size_t{2} * 1024 * 1024;
-// More connections than every process of a host has to this one; others wait in the backlog.
+// More than all processes of a host open to this server; further ones wait in the listen backlog.
 constexpr std::size_t max_connections = 256;
-// A client that neither asks nor reads holds its place no longer than this.
-constexpr clock::duration longest_idle{60'000};
+// A connection with no request pending that neither sends nor receives for this long is closed, so
+// that it doesn't count against max_connections.
+constexpr clock::duration max_idle_time{60'000};
 constexpr double housekeeping_interval_seconds = 5.0;
 
 std::string decode_percent(std::string_view text) {
@@ -39,17 +40,17 @@
     return result;
 }
 
-void split_target(std::string_view url, http_request& request) {
-    const auto mark = std::min(url.find('?'), url.size());
-    request.path = decode_percent(url.substr(0, mark));
-    auto rest = mark < url.size() ? url.substr(mark + 1) : std::string_view{};
-    while (!rest.empty()) {
-        const auto end = std::min(rest.find('&'), rest.size());
-        const auto pair = rest.substr(0, end);
+void parse_request_target(std::string_view url, http_request& request) {
+    const auto query_start = std::min(url.find('?'), url.size());
+    request.path = decode_percent(url.substr(0, query_start));
+    auto remaining = query_start < url.size() ? url.substr(query_start + 1) : std::string_view{};
+    while (!remaining.empty()) {
+        const auto pair_end = std::min(remaining.find('&'), remaining.size());
+        const auto pair = remaining.substr(0, pair_end);
         const auto equals = std::min(pair.find('='), pair.size());
         const auto value = equals < pair.size() ? pair.substr(equals + 1) : std::string_view{};
         request.query[decode_percent(pair.substr(0, equals))] = decode_percent(value);
-        rest.remove_prefix(std::min(end + 1, rest.size()));
+        remaining.remove_prefix(std::min(pair_end + 1, remaining.size()));
     }
 }
 
@@ -78,9 +79,9 @@
     connection(const connection&) = delete;
     connection& operator=(const connection&) = delete;
 
-    bool has_ended() const { return !socket_.is_open(); }
-    bool is_stale(clock::time_point now) const {
-        return !is_answering_ && now - active_at_ > longest_idle;
+    bool is_closed() const { return !socket_.is_open(); }
+    bool is_idle_too_long(clock::time_point now) const {
+        return !has_pending_request_ && now - last_active_at_ > max_idle_time;
     }
     void end() {
         readable_.stop();
@@ -91,7 +92,7 @@
 private:
     void on_readable(ev::io& /*watcher*/, int /*events*/) {
         const auto self = shared_from_this();
-        active_at_ = clock::now();
+        last_active_at_ = clock::now();
         const bool is_open = read_available(socket_.get(), input_);
         parse();
         if (!is_open) {
@@ -99,12 +100,13 @@
         }
     }
 
-    // One request at a time: what a client sends ahead waits until its turn.
+    // Handles one request at a time: pipelined requests stay in the input buffer until the response
+    // to the current one has been queued.
     void parse() {
-        while (!is_answering_ && !has_ended() && !input_.empty()) {
-            const auto used =
+        while (!has_pending_request_ && !is_closed() && !input_.empty()) {
+            const auto consumed =
                 http_parser_execute(&parser_, &settings_, input_.data(), input_.size());
-            input_.erase(0, used);
+            input_.erase(0, consumed);
             const auto error = HTTP_PARSER_ERRNO(&parser_);
             if (error == HPE_PAUSED) {
                 http_parser_pause(&parser_, 0);
@@ -119,21 +121,21 @@
     }
 
     void dispatch() {
-        is_answering_ = true;
+        has_pending_request_ = true;
         must_close_ = http_should_keep_alive(&parser_) == 0;
         request_.method = http_method_str(static_cast<http_method>(parser_.method));
-        split_target(url_, request_);
+        parse_request_target(url_, request_);
         url_.clear();
         const auto request = std::exchange(request_, {});
         handler_(request, [weak = weak_from_this()](const http_response& response) {
             if (const auto self = weak.lock()) {
-                self->answer(response);
+                self->send_response(response);
             }
         });
     }
 
-    void answer(const http_response& response) {
-        if (has_ended()) {
+    void send_response(const http_response& response) {
+        if (is_closed()) {
             return;
         }
         const auto status = static_cast<http_status>(response.status);
@@ -141,7 +143,7 @@
                    "\r\nContent-Type: " + response.content_type +
                    "\r\nContent-Length: " + std::to_string(response.body.size()) +
                    (must_close_ ? "\r\nConnection: close\r\n\r\n" : "\r\n\r\n") + response.body;
-        is_answering_ = false;
+        has_pending_request_ = false;
         write();
         parse();
     }
@@ -152,9 +154,9 @@
     }
 
     void write() {
-        active_at_ = clock::now();
+        last_active_at_ = clock::now();
         const bool is_open = write_available(socket_.get(), output_);
-        if (!is_open || (output_.empty() && must_close_ && !is_answering_)) {
+        if (!is_open || (output_.empty() && must_close_ && !has_pending_request_)) {
             end();
         } else if (output_.empty()) {
             writable_.stop();
@@ -189,35 +191,36 @@
     std::string url_;
     std::string input_;
     std::string output_;
-    clock::time_point active_at_ = clock::now();
-    bool is_answering_ = false;  // a request was handed to the handler
-    bool must_close_ = false;    // after the answer to it
+    clock::time_point last_active_at_ = clock::now();
+    bool has_pending_request_ = false;  // the handler hasn't responded yet
+    bool must_close_ = false;           // after the response to it
 };
 
 struct http_server::implementation {
     http_handler handler;
     ev::loop_ref loop;
-    descriptor listening;
+    descriptor listener;
     ev::io acceptable;
     ev::timer housekeeping;
     std::vector<std::shared_ptr<connection>> connections;
 
-    implementation(ev::loop_ref on, http_handler with, const sockaddr_in& address)
-        : handler{std::move(with)},
-          loop{on},
-          listening{listen_on(address)},
-          acceptable{on},
-          housekeeping{on} {
+    implementation(ev::loop_ref event_loop, http_handler request_handler,
+                   const sockaddr_in& address)
+        : handler{std::move(request_handler)},
+          loop{event_loop},
+          listener{listen_on(address)},
+          acceptable{event_loop},
+          housekeeping{event_loop} {
         acceptable.set<implementation, &implementation::on_acceptable>(this);
-        acceptable.start(listening.get(), ev::READ);
+        acceptable.start(listener.get(), ev::READ);
         housekeeping.set<implementation, &implementation::on_housekeeping>(this);
         housekeeping.start(housekeeping_interval_seconds, housekeeping_interval_seconds);
     }
 
     void on_acceptable(ev::io& /*watcher*/, int /*events*/) {
-        std::erase_if(connections, [](const auto& each) { return each->has_ended(); });
+        std::erase_if(connections, [](const auto& each) { return each->is_closed(); });
         while (connections.size() < max_connections) {
-            auto accepted = accept_from(listening.get());
+            auto accepted = accept_from(listener.get());
             if (!accepted.is_open()) {
                 return;
             }
@@ -227,15 +230,16 @@
 
     void on_housekeeping(ev::timer& /*watcher*/, int /*events*/) {
         const auto now = clock::now();
-        std::erase_if(connections,
-                      [now](const auto& each) { return each->has_ended() || each->is_stale(now); });
+        std::erase_if(connections, [now](const auto& each) {
+            return each->is_closed() || each->is_idle_too_long(now);
+        });
     }
 };
 
 http_server::http_server(ev::loop_ref loop, std::string_view address, http_handler handler) {
     const auto local = parse_address(address);
     if (!local) {
-        throw std::runtime_error("not an address: " + std::string{address});
+        throw std::runtime_error("invalid listen address: " + std::string{address});
     }
     implementation_ = std::make_unique<implementation>(loop, std::move(handler), *local);
 }
--- a/libraries/net/http_server.h
+++ b/libraries/net/http_server.h
@@ -1,4 +1,4 @@
-// A small HTTP/1.1 server on the loop; http_parser reads the requests.
+// A small HTTP/1.1 server on the event loop; http_parser parses the requests.
 #pragma once
 
 #include <ev++.h>
@@ -18,7 +18,7 @@
     std::map<std::string, std::string, std::less<>> query;
     std::string body;
 
-    // The query's value, or `fallback` when it is absent.
+    // The decoded value of a query parameter, or `fallback` when it is absent.
     std::string query_or(std::string_view key, std::string_view fallback) const;
 };
 
@@ -28,7 +28,8 @@
     std::string content_type = "application/json";
 };
 
-// Answers one request, now or later; must be called at most once, and not after the server's end.
+// Sends the response to one request, from within the handler or later. Must be called at most once,
+// and not after the server has been destroyed.
 using http_responder = std::function<void(http_response)>;
 using http_handler = std::function<void(const http_request&, http_responder)>;
 
--- a/standins/soak/soak_fleet.cpp
+++ b/standins/soak/soak_fleet.cpp
@@ -156,7 +156,7 @@
                 .address = *net::parse_address(address),
                 .path = path,
                 .body = body,
-                .limit = http_limit},
+                .timeout = http_limit},
                [](const net::http_result& /*answer*/) {
                    // A store that is away answers nothing, and the write has taken effect.
                });
@@ -202,7 +202,7 @@
                 .address = *net::parse_address(store_address_),
                 .path = "/put?key=op/config",
                 .body = texts_.front(),
-                .limit = http_limit},
+                .timeout = http_limit},
                [this](const net::http_result& /*answer*/) {
                    texts_.pop_front();
                    is_writing_ = false;
--- a/tests/http_exchange_test.cpp
+++ b/tests/http_exchange_test.cpp
@@ -1,4 +1,4 @@
-// Net: HTTP between our own client and server on loopback, and what breaks in between.
+// Tests net::http_client against net::http_server over loopback, including failures between them.
 #include <gtest/gtest.h>
 
 #include "net/http_client.h"
@@ -9,13 +9,13 @@
 namespace bramleytrack {
 namespace {
 
-constexpr clock::duration limit{500};
+constexpr clock::duration timeout{500};
 
 class http_exchange : public ::testing::Test {
 protected:
     ev::dynamic_loop loop_;
     net::http_client client_{loop_};
-    // The port is taken and given back, so that the server finds it free.
+    // Binds a free port and releases it, so that the server under test can bind it.
     std::string address_ = free_address();
 
     static std::string free_address() {
@@ -33,7 +33,7 @@
                       .address = *net::parse_address(address_),
                       .path = path,
                       .body = body,
-                      .limit = limit},
+                      .timeout = timeout},
                      [&](net::http_result answer) {
                          result = std::move(answer);
                          loop_.break_loop(ev::ONE);
@@ -43,7 +43,7 @@
     }
 };
 
-TEST_F(http_exchange, carries_method_path_query_and_body) {
+TEST_F(http_exchange, transfers_method_path_query_and_body) {
     net::http_request seen;
     const net::http_server server{
         loop_, address_, [&](const net::http_request& request, const net::http_responder& respond) {
@@ -59,7 +59,7 @@
     EXPECT_EQ(seen.body, "body");
 }
 
-TEST_F(http_exchange, keeps_a_connection_for_the_next_call) {
+TEST_F(http_exchange, serves_consecutive_calls_with_large_responses) {
     int requests = 0;
     const net::http_server server{
         loop_, address_, [&](const net::http_request&, const net::http_responder& respond) {
@@ -72,23 +72,23 @@
     EXPECT_EQ(requests, 5);
 }
 
-TEST_F(http_exchange, gives_up_on_an_answer_that_does_not_come) {
-    // A lost answer on a connection that stays open: without a limit of its own the caller would
-    // wait for good.
+TEST_F(http_exchange, times_out_without_response) {
+    // The response is lost but the connection stays open: without a timeout per call, the client
+    // would wait forever.
     const net::http_server server{loop_, address_,
                                   [](const net::http_request&, const net::http_responder&) {}};
     const auto before = clock::now();
     EXPECT_EQ(call("GET", "/").status, 0);
-    EXPECT_GE(clock::now() - before, limit - clock::duration{50});
+    EXPECT_GE(clock::now() - before, timeout - clock::duration{50});
 }
 
-TEST_F(http_exchange, reports_a_port_without_listener_at_once) {
+TEST_F(http_exchange, fails_before_the_timeout_when_connection_is_refused) {
     const auto before = clock::now();
     EXPECT_EQ(call("GET", "/").status, 0);
-    EXPECT_LT(clock::now() - before, limit);
+    EXPECT_LT(clock::now() - before, timeout);
 }
 
-TEST_F(http_exchange, repeats_a_read_when_a_kept_connection_was_closed_meanwhile) {
+TEST_F(http_exchange, retries_get_when_idle_connection_was_closed_by_server) {
     const auto answer_yes = [](const net::http_request&, const net::http_responder& respond) {
         respond({.status = 200, .body = "yes"});
     };
@@ -99,20 +99,20 @@
     EXPECT_EQ(call("GET", "/").status, 200);
 }
 
-TEST_F(http_exchange, an_answer_may_come_later) {
-    net::http_responder kept;
+TEST_F(http_exchange, handler_may_respond_later) {
+    net::http_responder respond_later;
     const net::http_server server{
         loop_, address_, [&](const net::http_request&, const net::http_responder& respond) {
-            kept = respond;
+            respond_later = respond;
             loop_.break_loop(ev::ONE);
         }};
     net::http_result result;
-    client_.get("http://" + address_ + "/", limit, [&](net::http_result answer) {
+    client_.get("http://" + address_ + "/", timeout, [&](net::http_result answer) {
         result = std::move(answer);
         loop_.break_loop(ev::ONE);
     });
     loop_.run();
-    kept({.status = 503, .body = ""});
+    respond_later({.status = 503, .body = ""});
     loop_.run();
     EXPECT_EQ(result.status, 503);
 }
