--- a/libraries/net/packet_socket.cpp
+++ b/libraries/net/packet_socket.cpp
@@ -8,9 +8,9 @@
 namespace bramleytrack::net {
 namespace {
 
-// A quarter of a second at 35,000 packets a second, while the loop is busy elsewhere.
+// Holds 250 ms of traffic at 35,000 packets per second while the event loop is busy.
 constexpr int socket_buffer_size = 4 * 1024 * 1024;
-// Bounds the work of one wake-up, so that timers and readiness stay punctual under a flood.
+// Bounds the work per wake-up, so that timers and readiness checks aren't delayed under a flood.
 constexpr int max_batches_per_wakeup = 4;
 
 }  // namespace
@@ -20,12 +20,12 @@
     : socket_{socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)},
       on_receive_{std::move(on_receive)},
       readable_{loop},
-      received_(batch_size),
-      received_parts_(batch_size),
-      received_heads_(batch_size),
-      sent_(batch_size),
-      sent_parts_(batch_size),
-      sent_heads_(batch_size),
+      receive_buffers_(batch_size),
+      receive_iovecs_(batch_size),
+      receive_headers_(batch_size),
+      send_buffers_(batch_size),
+      send_iovecs_(batch_size),
+      send_headers_(batch_size),
       destinations_(batch_size) {
     setsockopt(socket_.get(), SOL_SOCKET, SO_RCVBUF, &socket_buffer_size,
                sizeof(socket_buffer_size));
@@ -33,15 +33,15 @@
         throw std::system_error(errno, std::generic_category(), "bind");
     }
     for (std::size_t i = 0; i < batch_size; ++i) {
-        received_parts_[i] = {.iov_base = received_[i].data(), .iov_len = max_size};
-        received_heads_[i] = {};
-        received_heads_[i].msg_hdr.msg_iov = &received_parts_[i];
-        received_heads_[i].msg_hdr.msg_iovlen = 1;
-        sent_heads_[i] = {};
-        sent_heads_[i].msg_hdr.msg_iov = &sent_parts_[i];
-        sent_heads_[i].msg_hdr.msg_iovlen = 1;
-        sent_heads_[i].msg_hdr.msg_name = &destinations_[i];
-        sent_heads_[i].msg_hdr.msg_namelen = sizeof(sockaddr_in);
+        receive_iovecs_[i] = {.iov_base = receive_buffers_[i].data(), .iov_len = max_packet_size};
+        receive_headers_[i] = {};
+        receive_headers_[i].msg_hdr.msg_iov = &receive_iovecs_[i];
+        receive_headers_[i].msg_hdr.msg_iovlen = 1;
+        send_headers_[i] = {};
+        send_headers_[i].msg_hdr.msg_iov = &send_iovecs_[i];
+        send_headers_[i].msg_hdr.msg_iovlen = 1;
+        send_headers_[i].msg_hdr.msg_name = &destinations_[i];
+        send_headers_[i].msg_hdr.msg_namelen = sizeof(sockaddr_in);
     }
     readable_.set<packet_socket, &packet_socket::on_readable>(this);
 }
@@ -55,39 +55,41 @@
 }
 
 std::span<std::uint8_t> packet_socket::next_buffer() {
-    if (queued_ == batch_size) {
+    if (queued_count_ == batch_size) {
         flush();
     }
-    return sent_[queued_];
+    return send_buffers_[queued_count_];
 }
 
 void packet_socket::queue(std::uint32_t address, std::uint16_t port, std::size_t size) {
-    destinations_[queued_] = {};
-    destinations_[queued_].sin_family = AF_INET;
-    destinations_[queued_].sin_addr.s_addr = htonl(address);
-    destinations_[queued_].sin_port = htons(port);
-    sent_parts_[queued_] = {.iov_base = sent_[queued_].data(), .iov_len = size};
-    ++queued_;
+    destinations_[queued_count_] = {};
+    destinations_[queued_count_].sin_family = AF_INET;
+    destinations_[queued_count_].sin_addr.s_addr = htonl(address);
+    destinations_[queued_count_].sin_port = htons(port);
+    send_iovecs_[queued_count_] = {.iov_base = send_buffers_[queued_count_].data(),
+                                   .iov_len = size};
+    ++queued_count_;
 }
 
 void packet_socket::flush() {
-    std::size_t done = 0;
-    while (done < queued_) {
-        const auto count = sendmmsg(socket_.get(), &sent_heads_[done],
-                                    static_cast<unsigned>(queued_ - done), MSG_DONTWAIT);
+    std::size_t processed = 0;
+    while (processed < queued_count_) {
+        const auto count = sendmmsg(socket_.get(), &send_headers_[processed],
+                                    static_cast<unsigned>(queued_count_ - processed), MSG_DONTWAIT);
         if (count <= 0) {
-            // A full link or an address that refuses: this datagram is lost, as datagrams are.
+            // The send buffer is full or the destination refuses datagrams: drops this one, since
+            // delivery is best-effort, and continues with the next.
             ++dropped_sends_;
-            ++done;
+            ++processed;
             continue;
         }
-        done += static_cast<std::size_t>(count);
+        processed += static_cast<std::size_t>(count);
     }
-    queued_ = 0;
+    queued_count_ = 0;
 }
 
 int packet_socket::receive() {
-    return recvmmsg(socket_.get(), received_heads_.data(), batch_size, MSG_DONTWAIT, nullptr);
+    return recvmmsg(socket_.get(), receive_headers_.data(), batch_size, MSG_DONTWAIT, nullptr);
 }
 
 void packet_socket::on_readable(ev::io& /*watcher*/, int /*events*/) {
@@ -95,7 +97,7 @@
         const int count = receive();
         for (int i = 0; i < count; ++i) {
             const auto index = static_cast<std::size_t>(i);
-            on_receive_({received_[index].data(), received_heads_[index].msg_len});
+            on_receive_({receive_buffers_[index].data(), receive_headers_[index].msg_len});
         }
         flush();
         if (count < static_cast<int>(batch_size)) {
--- a/libraries/net/packet_socket.h
+++ b/libraries/net/packet_socket.h
@@ -1,7 +1,7 @@
-// A UDP socket that takes and sends datagrams in batches, for the path of the callers' packets.
+// A UDP socket that receives and sends datagrams in batches, for the data path of callers' packets.
 //
-// udp_endpoint is its kin for the few messages between instances; here a system call a packet would
-// be the largest cost of a small instance.
+// On the data path, one system call per packet would be the largest cost of a small instance. The
+// few messages between instances go through udp_endpoint, which doesn't batch.
 #pragma once
 
 #include <ev++.h>
@@ -23,8 +23,8 @@
 public:
     using receive_callback = std::function<void(std::span<const std::uint8_t> datagram)>;
 
-    // The largest packet with its head, and what is put before it on the way to a target.
-    static constexpr std::size_t max_size = 2048;
+    // The largest packet with its headers and the encapsulation for the way to a target.
+    static constexpr std::size_t max_packet_size = 2048;
     static constexpr std::size_t batch_size = 64;
 
     // Throws std::system_error when the address can't be bound.
@@ -33,23 +33,24 @@
     packet_socket(const packet_socket&) = delete;
     packet_socket& operator=(const packet_socket&) = delete;
 
-    // Until this is called, datagrams wait in the socket's buffer.
+    // Until this is called, datagrams stay in the socket's receive buffer.
     //
-    // Failure: a process that has just started knows no target yet, and drops what the routers send
-    // to it, though it will know all of them a tenth of a second later. Callers send again after
-    // 200 ms at the earliest.
+    // A process that has just started holds no targets yet and would drop the packets that routers
+    // send to it, although it receives the targets about 100 ms later. Callers retransmit after
+    // 200 ms at the earliest, so each drop would delay them by at least that.
     void start_receiving();
 
-    // Room for the next datagram to send; queue() takes it over.
+    // The buffer to write the next datagram into; queue() then queues its first `size` bytes.
     std::span<std::uint8_t> next_buffer();
     void queue(std::uint32_t address, std::uint16_t port, std::size_t size);
-    // Sends what is queued. Called after each batch that was received; call it after other sends.
+    // Sends all queued datagrams. The socket calls it after each received batch; callers that queue
+    // datagrams at other times must call it themselves.
     void flush();
 
     std::int64_t dropped_sends() const { return dropped_sends_; }
 
 private:
-    using buffer = std::array<std::uint8_t, max_size>;
+    using buffer = std::array<std::uint8_t, max_packet_size>;
 
     void on_readable(ev::io& watcher, int events);
     int receive();
@@ -57,14 +58,14 @@
     descriptor socket_;
     receive_callback on_receive_;
     ev::io readable_;
-    std::vector<buffer> received_;
-    std::vector<iovec> received_parts_;
-    std::vector<mmsghdr> received_heads_;
-    std::vector<buffer> sent_;
-    std::vector<iovec> sent_parts_;
-    std::vector<mmsghdr> sent_heads_;
+    std::vector<buffer> receive_buffers_;
+    std::vector<iovec> receive_iovecs_;
+    std::vector<mmsghdr> receive_headers_;
+    std::vector<buffer> send_buffers_;
+    std::vector<iovec> send_iovecs_;
+    std::vector<mmsghdr> send_headers_;
     std::vector<sockaddr_in> destinations_;
-    std::size_t queued_ = 0;
+    std::size_t queued_count_ = 0;
     std::int64_t dropped_sends_ = 0;
 };
 
--- a/libraries/net/tcp.cpp
+++ b/libraries/net/tcp.cpp
@@ -12,42 +12,43 @@
 namespace bramleytrack::net {
 namespace {
 
-// Failure: the other end loses power or is cut off, and its silence looks like a quiet connection
-// for minutes. Probes each second and two misses show it within about three.
+// A peer that loses power or its network sends no FIN or RST, so for minutes the connection would
+// look merely idle. Sending keep-alive probes each second and giving up after two unanswered ones
+// detects this within about 3 s.
 constexpr int keepalive_idle_seconds = 1;
 constexpr int keepalive_interval_seconds = 1;
 constexpr int keepalive_probes = 2;
-// For data that was sent and not acknowledged, which keep-alive probes don't watch.
-constexpr int unacknowledged_limit_milliseconds = 3'000;
-constexpr int backlog = 128;
+// TCP_USER_TIMEOUT covers sent data that isn't acknowledged: no keep-alive probes are sent then.
+constexpr int user_timeout_milliseconds = 3'000;
+constexpr int listen_backlog = 128;
 constexpr std::size_t read_size = 64UL * 1024;
 
 void set_option(int socket, int level, int name, int value) {
-    // An option that a system lacks makes failures slower to notice, not wrong.
+    // On a system without one of these options, failures are only detected later.
     (void)setsockopt(socket, level, name, &value, sizeof(value));
 }
 
-void prepare(int socket) {
+void set_connection_options(int socket) {
     set_option(socket, IPPROTO_TCP, TCP_NODELAY, 1);
     set_option(socket, SOL_SOCKET, SO_KEEPALIVE, 1);
     set_option(socket, IPPROTO_TCP, TCP_KEEPIDLE, keepalive_idle_seconds);
     set_option(socket, IPPROTO_TCP, TCP_KEEPINTVL, keepalive_interval_seconds);
     set_option(socket, IPPROTO_TCP, TCP_KEEPCNT, keepalive_probes);
-    set_option(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, unacknowledged_limit_milliseconds);
+    set_option(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, user_timeout_milliseconds);
 }
 
 }  // namespace
 
 descriptor::~descriptor() {
     if (is_open()) {
-        close(number_);
+        close(fd_);
     }
 }
 
-descriptor::descriptor(descriptor&& other) noexcept : number_{std::exchange(other.number_, -1)} {}
+descriptor::descriptor(descriptor&& other) noexcept : fd_{std::exchange(other.fd_, -1)} {}
 
 descriptor& descriptor::operator=(descriptor&& other) noexcept {
-    std::swap(number_, other.number_);
+    std::swap(fd_, other.fd_);
     return *this;
 }
 
@@ -56,7 +57,7 @@
     if (!result.is_open()) {
         return result;
     }
-    prepare(result.get());
+    set_connection_options(result.get());
     const auto connected =
         connect(result.get(), reinterpret_cast<const sockaddr*>(&address), sizeof(address));
     return connected == 0 || errno == EINPROGRESS ? std::move(result) : descriptor{};
@@ -67,26 +68,26 @@
     set_option(result.get(), SOL_SOCKET, SO_REUSEADDR, 1);
     if (!result.is_open() ||
         bind(result.get(), reinterpret_cast<const sockaddr*>(&address), sizeof(address)) != 0 ||
-        listen(result.get(), backlog) != 0) {
+        listen(result.get(), listen_backlog) != 0) {
         throw std::system_error(errno, std::generic_category(), "listen");
     }
     return result;
 }
 
-descriptor accept_from(int listening) {
-    descriptor result{accept4(listening, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC)};
+descriptor accept_from(int listener) {
+    descriptor result{accept4(listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC)};
     if (result.is_open()) {
-        prepare(result.get());
+        set_connection_options(result.get());
     }
     return result;
 }
 
-bool read_available(int socket, std::string& to) {
+bool read_available(int socket, std::string& output) {
     std::array<char, read_size> buffer;  // NOLINT(*-member-init): filled by recv
     while (true) {
         const auto count = recv(socket, buffer.data(), buffer.size(), 0);
         if (count > 0) {
-            to.append(buffer.data(), static_cast<std::size_t>(count));
+            output.append(buffer.data(), static_cast<std::size_t>(count));
             if (static_cast<std::size_t>(count) < buffer.size()) {
                 return true;
             }
--- a/libraries/net/udp_endpoint.cpp
+++ b/libraries/net/udp_endpoint.cpp
@@ -14,11 +14,11 @@
 namespace bramleytrack::net {
 namespace {
 
-// Bursts of a whole service must fit while the loop is busy elsewhere.
+// Holds a burst of a whole service's datagrams while the event loop is busy.
 constexpr int socket_buffer_size = 4 * 1024 * 1024;
-// Bounds the work of one wake-up, so that timers stay punctual under a flood.
+// Bounds the work per wake-up, so that timers aren't delayed under a flood.
 constexpr int max_datagrams_per_wakeup = 256;
-constexpr std::size_t max_resolved_addresses = 100'000;
+constexpr std::size_t max_cached_addresses = 100'000;
 
 }  // namespace
 
@@ -52,40 +52,40 @@
     if (!local) {
         throw std::system_error(EINVAL, std::generic_category(), std::string{address});
     }
-    descriptor_ = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    setsockopt(descriptor_, SOL_SOCKET, SO_RCVBUF, &socket_buffer_size, sizeof(socket_buffer_size));
-    setsockopt(descriptor_, SOL_SOCKET, SO_SNDBUF, &socket_buffer_size, sizeof(socket_buffer_size));
-    if (bind(descriptor_, reinterpret_cast<const sockaddr*>(&*local), sizeof(*local)) != 0) {
+    socket_ = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+    setsockopt(socket_, SOL_SOCKET, SO_RCVBUF, &socket_buffer_size, sizeof(socket_buffer_size));
+    setsockopt(socket_, SOL_SOCKET, SO_SNDBUF, &socket_buffer_size, sizeof(socket_buffer_size));
+    if (bind(socket_, reinterpret_cast<const sockaddr*>(&*local), sizeof(*local)) != 0) {
         const int error = errno;
-        close(descriptor_);
+        close(socket_);
         throw std::system_error(error, std::generic_category(), std::string{address});
     }
     watcher_.set<udp_endpoint, &udp_endpoint::on_readable>(this);
-    watcher_.start(descriptor_, ev::READ);
+    watcher_.start(socket_, ev::READ);
 }
 
 udp_endpoint::~udp_endpoint() {
     watcher_.stop();
-    close(descriptor_);
+    close(socket_);
 }
 
 void udp_endpoint::send(std::string_view address, std::span<const std::uint8_t> datagram) {
     const std::string text{address};
-    auto found = resolved_.find(text);
-    if (found == resolved_.end()) {
+    auto cached = address_cache_.find(text);
+    if (cached == address_cache_.end()) {
         const auto parsed = parse_address(text);
         if (!parsed) {
             ++dropped_sends_;
             return;
         }
-        if (resolved_.size() >= max_resolved_addresses) {
-            resolved_.clear();
+        if (address_cache_.size() >= max_cached_addresses) {
+            address_cache_.clear();
         }
-        found = resolved_.emplace(text, *parsed).first;
+        cached = address_cache_.emplace(text, *parsed).first;
     }
     const auto sent =
-        sendto(descriptor_, datagram.data(), datagram.size(), 0,
-               reinterpret_cast<const sockaddr*>(&found->second), sizeof(found->second));
+        sendto(socket_, datagram.data(), datagram.size(), 0,
+               reinterpret_cast<const sockaddr*>(&cached->second), sizeof(cached->second));
     if (sent < 0) {
         ++dropped_sends_;
     }
@@ -94,7 +94,7 @@
 std::string udp_endpoint::local_address() const {
     sockaddr_in local{};
     socklen_t size = sizeof(local);
-    getsockname(descriptor_, reinterpret_cast<sockaddr*>(&local), &size);
+    getsockname(socket_, reinterpret_cast<sockaddr*>(&local), &size);
     return to_string(local);
 }
 
@@ -102,7 +102,7 @@
     for (int i = 0; i < max_datagrams_per_wakeup; ++i) {
         sockaddr_in sender{};
         socklen_t size = sizeof(sender);
-        const auto received = recvfrom(descriptor_, buffer_.data(), buffer_.size(), 0,
+        const auto received = recvfrom(socket_, buffer_.data(), buffer_.size(), 0,
                                        reinterpret_cast<sockaddr*>(&sender), &size);
         if (received < 0) {
             return;
--- a/libraries/net/udp_endpoint.h
+++ b/libraries/net/udp_endpoint.h
@@ -1,4 +1,4 @@
-// A UDP socket on the loop: datagrams in by callback, datagrams out at once.
+// A UDP socket on the event loop: passes received datagrams to a callback and sends unbuffered.
 #pragma once
 
 #include <ev++.h>
@@ -15,7 +15,7 @@
 
 namespace bramleytrack::net {
 
-// Parses "ip:port" with a numeric IPv4 address; nothing for any other text.
+// Parses "ip:port" with a numeric IPv4 address; std::nullopt for any other text.
 std::optional<sockaddr_in> parse_address(std::string_view text);
 std::string to_string(const sockaddr_in& address);
 
@@ -24,13 +24,14 @@
     using receive_callback =
         std::function<void(std::string_view sender, std::span<const std::uint8_t> datagram)>;
 
-    // Throws std::system_error when the address can't be bound. Port 0 takes any free port.
+    // Throws std::system_error when the address can't be bound. Port 0 selects any free port.
     udp_endpoint(ev::loop_ref loop, std::string_view address, receive_callback on_receive);
     ~udp_endpoint();
     udp_endpoint(const udp_endpoint&) = delete;
     udp_endpoint& operator=(const udp_endpoint&) = delete;
 
-    // Best effort, as UDP is: a full socket buffer drops the datagram and counts it.
+    // Best effort: a datagram that the system doesn't accept, for example because the send buffer
+    // is full, is dropped and counted in dropped_sends().
     void send(std::string_view address, std::span<const std::uint8_t> datagram);
 
     std::string local_address() const;
@@ -39,11 +40,11 @@
 private:
     void on_readable(ev::io& watcher, int events);
 
-    int descriptor_ = -1;
+    int socket_ = -1;
     receive_callback on_receive_;
     ev::io watcher_;
     std::vector<std::uint8_t> buffer_;
-    std::unordered_map<std::string, sockaddr_in> resolved_;  // bounded, see send()
+    std::unordered_map<std::string, sockaddr_in> address_cache_;  // bounded in send()
     std::int64_t dropped_sends_ = 0;
 };
 
