--- a/libraries/net/reach_probes.cpp
+++ b/libraries/net/reach_probes.cpp
@@ -13,12 +13,12 @@
 
 constexpr double milliseconds_per_second = 1000.0;
 
-bool has_answer(int socket) {
+bool is_connect_finished(int socket) {
     pollfd state{.fd = socket, .events = POLLOUT, .revents = 0};
     return poll(&state, 1, 0) > 0;
 }
 
-// Whether an attempt to connect that has ended was taken.
+// Whether a finished connection attempt succeeded.
 bool is_connected(int socket) {
     int error = 0;
     socklen_t size = sizeof(error);
@@ -34,33 +34,35 @@
           socket_{begin_connect(address)},
           done_{std::move(done)},
           writable_{owner.loop_},
-          expiry_{owner.loop_} {}
+          timeout_timer_{owner.loop_} {}
 
-    void start(clock::duration limit) {
-        expiry_.set<probe, &probe::on_expiry>(this);
-        expiry_.start(static_cast<double>(limit.count()) / milliseconds_per_second);
+    void start(clock::duration timeout) {
+        timeout_timer_.set<probe, &probe::on_timeout>(this);
+        timeout_timer_.start(static_cast<double>(timeout.count()) / milliseconds_per_second);
         if (socket_.is_open()) {
             writable_.set<probe, &probe::on_writable>(this);
             writable_.start(socket_.get(), ev::WRITE);
         }
     }
 
-    bool has_ended() const { return done_ == nullptr; }
+    bool is_finished() const { return done_ == nullptr; }
 
 private:
-    void on_writable(ev::io& /*watcher*/, int /*events*/) { finish(is_connected(socket_.get())); }
-
-    // Failure: this process had no processor for a while, and its timers come late. The answer has
-    // been there meanwhile, so the socket is asked before the target is found silent.
-    void on_expiry(ev::timer& /*watcher*/, int /*events*/) {
-        finish(socket_.is_open() && has_answer(socket_.get()) && is_connected(socket_.get()));
+    void on_writable(ev::io& /*watcher*/, int /*events*/) { complete(is_connected(socket_.get())); }
+
+    // When this process got no CPU time for a while, the timer may fire although the connection was
+    // established in time. The socket is therefore polled before the target is reported
+    // unreachable.
+    void on_timeout(ev::timer& /*watcher*/, int /*events*/) {
+        complete(socket_.is_open() && is_connect_finished(socket_.get()) &&
+                 is_connected(socket_.get()));
     }
 
-    void finish(bool is_reachable) {
+    void complete(bool is_reachable) {
         writable_.stop();
-        expiry_.stop();
+        timeout_timer_.stop();
         socket_ = descriptor{};
-        owner_.collector_.start();
+        owner_.cleanup_.start();
         std::exchange(done_, nullptr)(is_reachable);
     }
 
@@ -68,25 +70,25 @@
     descriptor socket_;
     reach_callback done_;
     ev::io writable_;
-    ev::timer expiry_;
+    ev::timer timeout_timer_;
 };
 
-reach_probes::reach_probes(ev::loop_ref loop) : loop_{loop}, collector_{loop} {
-    collector_.set<reach_probes, &reach_probes::collect_ended>(this);
+reach_probes::reach_probes(ev::loop_ref loop) : loop_{loop}, cleanup_{loop} {
+    cleanup_.set<reach_probes, &reach_probes::destroy_finished_probes>(this);
 }
 
 reach_probes::~reach_probes() {
-    collector_.stop();
+    cleanup_.stop();
 }
 
-void reach_probes::begin(const sockaddr_in& address, clock::duration limit, reach_callback done) {
+void reach_probes::start(const sockaddr_in& address, clock::duration timeout, reach_callback done) {
     probes_.push_back(std::make_unique<probe>(*this, address, std::move(done)));
-    probes_.back()->start(limit);
+    probes_.back()->start(timeout);
 }
 
-void reach_probes::collect_ended() {
-    std::erase_if(probes_, [](const auto& each) { return each->has_ended(); });
-    collector_.stop();
+void reach_probes::destroy_finished_probes() {
+    std::erase_if(probes_, [](const auto& each) { return each->is_finished(); });
+    cleanup_.stop();
 }
 
 }  // namespace bramleytrack::net
--- a/libraries/net/reach_probes.h
+++ b/libraries/net/reach_probes.h
@@ -1,6 +1,7 @@
-// Tries to connect to an address and tells whether anything there takes the connection.
+// TCP connect probes: reports whether a process accepts connections at an address.
 //
-// A refused one counts as none: the machine lives, but the process that served there has ended.
+// A refused connection counts as unreachable: the host is up, but the process that listened there
+// has ended.
 #pragma once
 
 #include <ev++.h>
@@ -23,17 +24,18 @@
     reach_probes(const reach_probes&) = delete;
     reach_probes& operator=(const reach_probes&) = delete;
 
-    // `done` is called once, from the loop; false when nothing has answered within `limit`.
-    void begin(const sockaddr_in& address, clock::duration limit, reach_callback done);
+    // `done` is called once, from the event loop; with false when the connection was refused or not
+    // established within `timeout`.
+    void start(const sockaddr_in& address, clock::duration timeout, reach_callback done);
 
 private:
     class probe;
 
-    void collect_ended();
+    void destroy_finished_probes();
 
     ev::loop_ref loop_;
     std::vector<std::unique_ptr<probe>> probes_;
-    ev::idle collector_;  // probes that have ended are destroyed outside their own callbacks
+    ev::idle cleanup_;  // destroys finished probes outside of their own callbacks
 };
 
 }  // namespace bramleytrack::net
--- a/services/bramleyd/target_checks.cpp
+++ b/services/bramleyd/target_checks.cpp
@@ -70,7 +70,7 @@
 
 void target_checks::probe(const discovery::target& target) {
     ++probes_begun_;
-    probes_.begin(socket_address_of(target.entry.address), probe_limit,
+    probes_.start(socket_address_of(target.entry.address), probe_limit,
                   [this, token = target.token](bool is_reachable) {
                       inquiries_.on_probe(token, is_reachable, clock::now());
                   });
--- a/tests/reach_probes_test.cpp
+++ b/tests/reach_probes_test.cpp
@@ -1,4 +1,4 @@
-// Net: whether something at an address takes a connection.
+// Tests net::reach_probes: TCP connect probes that succeed, are refused or time out.
 #include "net/reach_probes.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 namespace bramleytrack {
 namespace {
 
-constexpr clock::duration limit{60};
+constexpr clock::duration timeout{60};
 
 class reach_probes_test : public ::testing::Test {
 protected:
@@ -22,7 +22,7 @@
 
     bool probe(const sockaddr_in& address) {
         std::optional<bool> result;
-        subject_.begin(address, limit, [&](bool is_reachable) {
+        subject_.start(address, timeout, [&](bool is_reachable) {
             result = is_reachable;
             loop_.break_loop(ev::ONE);
         });
@@ -32,7 +32,7 @@
     }
 };
 
-TEST_F(reach_probes_test, tells_who_listens_from_who_has_ended) {
+TEST_F(reach_probes_test, distinguishes_a_listener_from_a_closed_port) {
     const auto address = *net::parse_address(standins::port_source{}.take());
     {
         const auto listening = net::listen_on(address);
@@ -41,15 +41,16 @@
     EXPECT_FALSE(probe(address));
 }
 
-TEST_F(reach_probes_test, gives_up_at_the_limit_and_calls_back_once) {
-    // A listener whose queue is full and never read answers no further connection.
+TEST_F(reach_probes_test, reports_unreachable_once_after_the_timeout) {
+    // A listener whose backlog is full and that never accepts leaves further connection attempts
+    // unanswered.
     const auto address = *net::parse_address(standins::port_source{}.take());
     const net::descriptor listening{socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0)};
     ASSERT_EQ(bind(listening.get(), reinterpret_cast<const sockaddr*>(&address), sizeof(address)),
               0);
     ASSERT_EQ(listen(listening.get(), 0), 0);
-    std::array<net::descriptor, 8> waiting;
-    for (auto& each : waiting) {
+    std::array<net::descriptor, 8> connections;
+    for (auto& each : connections) {
         each = net::begin_connect(address);
     }
     EXPECT_FALSE(probe(address));
