--- a/libraries/base/clock.h
+++ b/libraries/base/clock.h
@@ -1,6 +1,6 @@
-// The one clock type of the system: milliseconds since the Unix epoch.
+// The clock type used throughout the system: milliseconds since the Unix epoch.
 //
-// The core never reads it: every event carries its time. Only the daemons call now().
+// Core logic never reads the clock: every event carries its time. Only the daemons call now().
 #pragma once
 
 #include <chrono>
@@ -15,8 +15,9 @@
     using time_point = std::chrono::time_point<clock>;
     static constexpr bool is_steady = true;
 
-    // Wall-clock time at process start, advanced by a monotonic clock that counts suspension.
-    // A step of the wall clock therefore can't shorten a lease or revive a deadline.
+    // The wall-clock time at the first call, advanced by CLOCK_BOOTTIME, which is monotonic and
+    // includes time in suspension. A step of the wall clock therefore can't shorten a lease or
+    // extend a deadline that has passed.
     static time_point now();
 };
 
--- a/libraries/base/event_log.h
+++ b/libraries/base/event_log.h
@@ -1,5 +1,6 @@
-// Where the core writes what it decided. Bounded by rate for each kind, so that a flood of
-// decisions can't fill the disk of whoever collects the log, or the time of this process.
+// Interface through which core logic logs its decisions. Each kind of event has a rate limit of its
+// own, so that a flood of decisions can neither fill the log collector's disk nor use up the CPU
+// time of this process.
 #pragma once
 
 #include <cstddef>
@@ -11,11 +12,11 @@
 namespace bramleytrack {
 
 enum class log_kind : std::uint8_t {
-    opening,       // an opening packet was placed, refused or dropped
-    delivery,      // a later packet was refused or dropped
-    answer,        // a target answered late or left something unanswered
-    state_change,  // what the process believes has changed
-    lifecycle      // start, stop, reload, a dependency lost or regained
+    opening,       // an opening packet was forwarded, rejected or dropped
+    delivery,      // a later packet of a flow was rejected or dropped
+    answer,        // a target responded late or not at all
+    state_change,  // the state that this process holds has changed
+    lifecycle      // start, stop, reload; a dependency became unreachable or reachable
 };
 constexpr std::size_t log_kinds = 5;
 
@@ -26,8 +27,9 @@
     event_log& operator=(const event_log&) = delete;
     virtual ~event_log() = default;
 
-    // Whether a line of this kind may be written now. Asked before the line is built; a line that
-    // is left out is counted, and the count is written with the next line that is let through.
+    // Whether the rate limit of this kind admits a line now. Called before the line is formatted,
+    // so that a suppressed line costs nothing. Suppressed lines are counted, and the count is
+    // logged when a later line of the same kind is admitted.
     virtual bool admits(log_kind kind, clock::time_point now) = 0;
     virtual void write(const log_event& event) = 0;
 };
--- a/libraries/base/hash.cpp
+++ b/libraries/base/hash.cpp
@@ -12,8 +12,8 @@
 }
 
 std::uint64_t hash_of(std::uint64_t first, std::uint64_t second) {
-    const std::array<std::uint64_t, 2> parts{first, second};
-    return XXH3_64bits(parts.data(), sizeof(parts));
+    const std::array<std::uint64_t, 2> values{first, second};
+    return XXH3_64bits(values.data(), sizeof(values));
 }
 
 }  // namespace bramleytrack
--- a/libraries/base/hash.h
+++ b/libraries/base/hash.h
@@ -1,4 +1,5 @@
-// Hashes that all instances must agree on. Changing one breaks rolling upgrades.
+// Hash functions whose results must be the same on all instances. Changing one breaks rolling
+// upgrades, during which instances of both versions are running.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +9,7 @@
 
 std::uint64_t hash_of(std::string_view text);
 
-// Hash of two parts, for rendezvous scores and composed keys.
+// Combined hash of two values, for rendezvous hashing scores and composite keys.
 std::uint64_t hash_of(std::uint64_t first, std::uint64_t second);
 
 }  // namespace bramleytrack
--- a/libraries/base/log_event.cpp
+++ b/libraries/base/log_event.cpp
@@ -11,11 +11,11 @@
         return *this;
     }
     line_.push_back('"');
-    for (const char each : value) {
-        if (each == '"' || each == '\\') {
+    for (const char character : value) {
+        if (character == '"' || character == '\\') {
             line_.push_back('\\');
         }
-        line_.push_back(each == '\n' ? ' ' : each);
+        line_.push_back(character == '\n' ? ' ' : character);
     }
     line_.push_back('"');
     return *this;
--- a/libraries/base/log_event.h
+++ b/libraries/base/log_event.h
@@ -1,4 +1,4 @@
-// One event of a person's interest, as a line of key=value pairs.
+// One structured log event, formatted as a line of key=value pairs.
 #pragma once
 
 #include <cstdint>
@@ -7,11 +7,11 @@
 
 namespace bramleytrack {
 
-// Built by chaining with().
 class log_event {
 public:
     explicit log_event(std::string_view name) : line_{"event=" + std::string{name}} {}
 
+    // Appends a pair and returns the event, for chaining.
     log_event& with(std::string_view key, std::string_view value);
     log_event& with(std::string_view key, std::int64_t value);
 
--- a/libraries/base/read_file.h
+++ b/libraries/base/read_file.h
@@ -1,4 +1,3 @@
-// Whole files as text.
 #pragma once
 
 #include <optional>
@@ -6,7 +5,7 @@
 
 namespace bramleytrack {
 
-// Nothing when the file can't be read.
+// The contents of the file; std::nullopt when it can't be opened.
 std::optional<std::string> read_file(const std::string& path);
 
 }  // namespace bramleytrack
--- a/libraries/base/result_code.h
+++ b/libraries/base/result_code.h
@@ -7,8 +7,8 @@
 
 namespace bramleytrack {
 
-// Hundreds name the duty: 1 packets, 2 flows, 3 requests, 4 membership, 5 configuration,
-// 6 platform, 7 settings. A number is never used again for another meaning.
+// The hundreds digit gives the area: 1 packets, 2 flows, 3 requests, 4 membership, 5 configuration,
+// 6 platform, 7 settings. A number is never reused for another meaning.
 enum class result_code : std::uint16_t {
     ok = 0,
     malformed_datagram = 101,
@@ -57,7 +57,7 @@
     std::string_view meaning;
 };
 
-// All codes in ascending order; docs/RESULT-CODES.md is checked against it by a test.
+// All codes in ascending order. A test checks docs/RESULT-CODES.md against this list.
 std::span<const result_code_description> all_result_codes();
 
 std::string_view name_of(result_code code);
