--- a/libraries/base/rate_budget.h
+++ b/libraries/base/rate_budget.h
@@ -1,4 +1,4 @@
-// A budget that fills up with time: so much a second, and never more than a burst.
+// A token bucket: refilled at a given rate per second, up to a maximum of `burst` tokens.
 #pragma once
 
 #include <algorithm>
@@ -9,26 +9,26 @@
 
 class rate_budget {
 public:
-    // Full at first.
-    explicit rate_budget(double burst) : burst_{burst}, left_{burst} {}
+    // Starts full.
+    explicit rate_budget(double burst) : burst_{burst}, tokens_{burst} {}
 
-    // Fills up for the time since this was last called, and returns what is left.
+    // Adds the tokens for the time since the previous call, and returns how many are available.
     double refill(double per_second, clock::time_point now) {
         constexpr double milliseconds_per_second = 1000.0;
-        if (filled_at_ != clock::time_point{}) {
-            const auto elapsed = static_cast<double>((now - filled_at_).count());
-            left_ = std::min(burst_, left_ + elapsed / milliseconds_per_second * per_second);
+        if (refilled_at_ != clock::time_point{}) {
+            const auto elapsed = static_cast<double>((now - refilled_at_).count());
+            tokens_ = std::min(burst_, tokens_ + elapsed / milliseconds_per_second * per_second);
         }
-        filled_at_ = now;
-        return left_;
+        refilled_at_ = now;
+        return tokens_;
     }
-    void take(double amount) { left_ -= amount; }
-    clock::time_point filled_at() const { return filled_at_; }
+    void consume(double tokens) { tokens_ -= tokens; }
+    clock::time_point refilled_at() const { return refilled_at_; }
 
 private:
     double burst_;
-    double left_;  // as of filled_at_
-    clock::time_point filled_at_;
+    double tokens_;  // available at refilled_at_
+    clock::time_point refilled_at_;
 };
 
 }  // namespace bramleytrack
--- a/libraries/fleet/target_failure_detector.cpp
+++ b/libraries/fleet/target_failure_detector.cpp
@@ -203,7 +203,7 @@
     if (probes_.refill(limits_.probes_per_second, now) < 1) {
         return nullptr;
     }
-    probes_.take(1);
+    probes_.consume(1);
     auto& subject = inquiries_[target.token];
     subject.since = now;
     subject.begun = now;
--- a/libraries/observability/gauges.h
+++ b/libraries/observability/gauges.h
@@ -1,4 +1,4 @@
-// Gauges that are read off a state when the metrics are asked for, as a table.
+// Tables of gauges whose values are read from a state object at each scrape.
 #pragma once
 
 #include <prometheus/gauge.h>
@@ -17,7 +17,7 @@
     double (*read)(const state_type& state);
 };
 
-// Sets all gauges of the table and returns the whole registry as exposition text.
+// Sets all gauges of the table and returns the whole registry in the Prometheus text format.
 template <typename state_type>
 std::string render_registry(prometheus::Registry& registry,
                             std::span<const gauge_description<state_type>> gauges,
--- a/libraries/observability/log.cpp
+++ b/libraries/observability/log.cpp
@@ -16,52 +16,53 @@
 namespace bramleytrack::observability {
 namespace {
 
-// Half a minute of a busy instance's lines.
-constexpr std::size_t max_waiting_bytes = std::size_t{512} * 1024;
+// Holds about 30 s of a busy instance's log lines.
+constexpr std::size_t max_buffered_bytes = std::size_t{512} * 1024;
 
-// Standard output may be a pipe that nobody reads: a write that would block stops the whole loop. A
-// pipe that polls as writable takes PIPE_BUF bytes without blocking, so no more go in one write.
+// Standard output may be a pipe that is not being read, and a blocking write would stop the whole
+// event loop. A pipe that polls as writable accepts PIPE_BUF bytes without blocking, so each write
+// is limited to that size.
 class output_sink final : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
 public:
-    explicit output_sink(log_flush flush) : flush_when_{flush} {}
+    explicit output_sink(log_flush flush) : flush_mode_{flush} {}
 
-    std::int64_t lost() const { return lost_; }
+    std::int64_t dropped_lines() const { return dropped_lines_; }
 
 protected:
     void sink_it_(const spdlog::details::log_msg& message) override {
         spdlog::memory_buf_t line;
         formatter_->format(message, line);
-        if (waiting_.size() + line.size() > max_waiting_bytes) {
-            ++lost_;
+        if (buffer_.size() + line.size() > max_buffered_bytes) {
+            ++dropped_lines_;
             return;
         }
-        waiting_.append(line.data(), line.size());
-        if (flush_when_ == log_flush::each_line) {
+        buffer_.append(line.data(), line.size());
+        if (flush_mode_ == log_flush::each_line) {
             flush_();
         }
     }
 
     void flush_() override {
         std::size_t written = 0;
-        while (written < waiting_.size()) {
+        while (written < buffer_.size()) {
             pollfd output{.fd = STDOUT_FILENO, .events = POLLOUT, .revents = 0};
             if (poll(&output, 1, 0) <= 0 || (output.revents & POLLOUT) == 0) {
                 break;
             }
-            const auto size = std::min<std::size_t>(waiting_.size() - written, PIPE_BUF);
-            const auto count = ::write(STDOUT_FILENO, waiting_.data() + written, size);
+            const auto size = std::min<std::size_t>(buffer_.size() - written, PIPE_BUF);
+            const auto count = ::write(STDOUT_FILENO, buffer_.data() + written, size);
             if (count <= 0) {
                 break;
             }
             written += static_cast<std::size_t>(count);
         }
-        waiting_.erase(0, written);
+        buffer_.erase(0, written);
     }
 
 private:
-    log_flush flush_when_;
-    std::string waiting_;
-    std::int64_t lost_ = 0;
+    log_flush flush_mode_;
+    std::string buffer_;
+    std::int64_t dropped_lines_ = 0;
 };
 
 std::shared_ptr<output_sink>& current_sink() {
@@ -69,20 +70,21 @@
     return sink;
 }
 
-struct kind_budget {
+struct kind_rate_limit {
     std::string_view name;
     double lines_per_second;
     double burst;
 };
 
-// In the order of log_kind. Openings come at some 10 a second for each instance on an ordinary day;
-// a flood must neither hide what the process believes nor cost the time for packets.
-constexpr std::array<kind_budget, log_kinds> kind_budgets{
-    kind_budget{.name = "opening", .lines_per_second = 40, .burst = 200},
-    kind_budget{.name = "delivery", .lines_per_second = 20, .burst = 100},
-    kind_budget{.name = "answer", .lines_per_second = 20, .burst = 100},
-    kind_budget{.name = "belief", .lines_per_second = 40, .burst = 400},
-    kind_budget{.name = "lifecycle", .lines_per_second = 20, .burst = 100}};
+// In the order of log_kind. An instance usually logs about 10 openings per second. The limits keep
+// a flood of one kind from crowding out the state changes and from taking CPU time from the
+// packets.
+constexpr std::array<kind_rate_limit, log_kinds> kind_rate_limits{
+    kind_rate_limit{.name = "opening", .lines_per_second = 40, .burst = 200},
+    kind_rate_limit{.name = "delivery", .lines_per_second = 20, .burst = 100},
+    kind_rate_limit{.name = "answer", .lines_per_second = 20, .burst = 100},
+    kind_rate_limit{.name = "belief", .lines_per_second = 40, .burst = 400},
+    kind_rate_limit{.name = "lifecycle", .lines_per_second = 20, .burst = 100}};
 
 constexpr clock::duration report_interval{1'000};
 
@@ -105,36 +107,37 @@
     }
 }
 
-std::int64_t lost_log_lines() {
-    return current_sink() ? current_sink()->lost() : 0;
+std::int64_t dropped_log_lines() {
+    return current_sink() ? current_sink()->dropped_lines() : 0;
 }
 
-budgeted_log::budgeted_log() {
-    for (const auto& each : kind_budgets) {
-        budgets_.push_back({.lines = rate_budget{each.burst}, .suppressed = 0, .reported_at = {}});
+rate_limited_log::rate_limited_log() {
+    for (const auto& each : kind_rate_limits) {
+        kind_states_.push_back(
+            {.tokens = rate_budget{each.burst}, .suppressed_lines = 0, .reported_at = {}});
     }
 }
 
-bool budgeted_log::admits(log_kind kind, clock::time_point now) {
+bool rate_limited_log::admits(log_kind kind, clock::time_point now) {
     const auto index = static_cast<std::size_t>(kind);
-    const auto& allowed = kind_budgets.at(index);
-    auto& current = budgets_.at(index);
-    if (current.lines.refill(allowed.lines_per_second, now) < 1) {
-        ++current.suppressed;
+    const auto& rate_limit = kind_rate_limits.at(index);
+    auto& state = kind_states_.at(index);
+    if (state.tokens.refill(rate_limit.lines_per_second, now) < 1) {
+        ++state.suppressed_lines;
         return false;
     }
-    current.lines.take(1);
-    if (current.suppressed > 0 && now - current.reported_at >= report_interval) {
+    state.tokens.consume(1);
+    if (state.suppressed_lines > 0 && now - state.reported_at >= report_interval) {
         log_line(log_event{"lines_left_out"}
-                     .with("kind", allowed.name)
-                     .with("count", std::exchange(current.suppressed, 0))
+                     .with("kind", rate_limit.name)
+                     .with("count", std::exchange(state.suppressed_lines, 0))
                      .line());
-        current.reported_at = now;
+        state.reported_at = now;
     }
     return true;
 }
 
-void budgeted_log::write(const log_event& event) {
+void rate_limited_log::write(const log_event& event) {
     log_line(event.line());
 }
 
--- a/libraries/observability/log.h
+++ b/libraries/observability/log.h
@@ -1,7 +1,7 @@
-// Log lines: one event a line, key=value pairs, on standard output.
+// Logging to standard output: one event per line, as key=value pairs.
 //
-// Writing never blocks: lines wait in a bounded buffer while whoever reads the output is slow, and
-// lines beyond it are counted and left out.
+// Writing never blocks: while the reader of the output is slow, lines are kept in a bounded buffer.
+// Lines that don't fit into it are dropped and counted.
 #pragma once
 
 #include <array>
@@ -14,37 +14,38 @@
 
 namespace bramleytrack::observability {
 
-// Whether each line is written at once, or with the next flush_log(). A system call a line costs a
-// busy instance more than the line itself.
+// Whether each line is written at once, or with the next flush_log(). On a busy instance, one
+// system call per line costs more than formatting the line.
 enum class log_flush { each_line, on_request };
 
-// Sets the format for the whole process; `process` is the instance's name in every line.
+// Sets up the logger of the whole process; `process` is the instance's name, which every line
+// carries.
 void start_log(std::string_view process, log_flush flush = log_flush::each_line);
 
 void log_line(std::string_view line);
 
-// Writes what the output takes now.
+// Writes as much of the buffer as standard output accepts without blocking.
 void flush_log();
 
-// Lines that were left out because the output wasn't read.
-std::int64_t lost_log_lines();
+// Number of lines dropped because the buffer was full.
+std::int64_t dropped_log_lines();
 
-// A log of decisions with a rate for each kind.
-class budgeted_log final : public event_log {
+// An event log with a rate limit for each kind.
+class rate_limited_log final : public event_log {
 public:
-    budgeted_log();
+    rate_limited_log();
 
     bool admits(log_kind kind, clock::time_point now) override;
     void write(const log_event& event) override;
 
 private:
-    struct budget {
-        rate_budget lines;
-        std::int64_t suppressed = 0;
+    struct kind_state {
+        rate_budget tokens;
+        std::int64_t suppressed_lines = 0;
         clock::time_point reported_at;
     };
 
-    std::vector<budget> budgets_;  // in the order of log_kind
+    std::vector<kind_state> kind_states_;  // in the order of log_kind
 };
 
 }  // namespace bramleytrack::observability
--- a/libraries/observability/metrics.cpp
+++ b/libraries/observability/metrics.cpp
@@ -16,7 +16,7 @@
 
 constexpr double milliseconds_per_second = 1000.0;
 
-// From the time of one forwarding to the longest life of a request.
+// Covers the range from one forwarding hop to the maximum lifetime of a request.
 const prometheus::Histogram::BucketBoundaries& bucket_boundaries() {
     static const prometheus::Histogram::BucketBoundaries seconds{0.005, 0.01, 0.02, 0.05, 0.1, 0.2,
                                                                  0.5,   1.0,  2.0,  5.0,  10.0};
@@ -40,19 +40,20 @@
 
 constexpr std::array gauges{
     gauge_description<context>{
-        "bramleytrack_packets_from_callers", "packets that the fabric handed to this instance",
+        "bramleytrack_packets_from_callers", "packets received from callers through the fabric",
         [](const context& state) { return as_double(state.counts.packets_from_callers); }},
     gauge_description<context>{
-        "bramleytrack_packets_forwarded", "packets passed on to another instance",
+        "bramleytrack_packets_forwarded", "packets forwarded to another instance",
         [](const context& state) { return as_double(state.counts.packets_forwarded); }},
     gauge_description<context>{
-        "bramleytrack_packets_from_targets", "packets that targets sent to this instance",
+        "bramleytrack_packets_from_targets", "packets received from targets",
         [](const context& state) { return as_double(state.counts.packets_from_targets); }},
     gauge_description<context>{
-        "bramleytrack_packets_dropped", "packets dropped; the log gives the result code",
+        "bramleytrack_packets_dropped", "packets dropped; the log has the result code",
         [](const context& state) { return as_double(state.counts.dropped); }},
     gauge_description<context>{
-        "bramleytrack_flows_recovered", "flows found again after a crash of their owner",
+        "bramleytrack_flows_recovered",
+        "flows recovered after a crash of the instance that owned them",
         [](const context& state) { return as_double(state.counts.flows_recovered); }},
     gauge_description<context>{
         "bramleytrack_targets_owned", "targets that this instance owns",
--- a/libraries/observability/metrics.h
+++ b/libraries/observability/metrics.h
@@ -1,7 +1,7 @@
 // Metrics of one instance in the Prometheus text format.
 //
-// The serialized text is served from the instance's own loop: the pull library of prometheus-cpp
-// runs threads of its own, which the one-loop rule forbids.
+// The text is served from the instance's own event loop: the pull library of prometheus-cpp starts
+// threads of its own, but an instance is single-threaded by design.
 #pragma once
 
 #include <memory>
@@ -12,8 +12,9 @@
 
 namespace bramleytrack::observability {
 
-// Label values that a caller can invent (members) are bounded: those beyond share one series, so
-// that a stranger's names can't grow the memory.
+// Maximum number of distinct values of the `member` label. Callers choose the member name, so
+// without a bound they could grow the number of series, and with it the memory, at will. Further
+// members share one series.
 constexpr std::size_t max_members = 200;
 
 class metrics {
@@ -23,10 +24,10 @@
     metrics(const metrics&) = delete;
     metrics& operator=(const metrics&) = delete;
 
-    // Counts the outcome, and the time to it in histograms per member and per service.
+    // Records the outcome and its latency in the histograms per member and per service.
     void observe(const request_ended& event);
 
-    // The state of the instance as exposition text.
+    // All metrics in the Prometheus text format, with gauges read from `state`.
     std::string render(const context& state);
 
 private:
--- a/libraries/observability/steering_metrics.cpp
+++ b/libraries/observability/steering_metrics.cpp
@@ -15,68 +15,73 @@
 
 constexpr double milliseconds_per_second = 1000.0;
 
-// From an answer within the zone to the longest time that a caller waits.
+// Covers the range from a response within the zone to the maximum time that a caller waits.
 const prometheus::Histogram::BucketBoundaries& bucket_boundaries() {
     static const prometheus::Histogram::BucketBoundaries seconds{
         0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0};
     return seconds;
 }
 
-template <auto member>
-double read_member(const steering_gauges& state) {
-    return static_cast<double>(state.*member);
+template <auto field>
+double read_field(const steering_gauges& state) {
+    return static_cast<double>(state.*field);
 }
 
 constexpr std::array gauges{
-    gauge_description<steering_gauges>{"bramleytrack_configuration_version", "version in force",
-                                       &read_member<&steering_gauges::catalogue_version>},
+    gauge_description<steering_gauges>{"bramleytrack_configuration_version",
+                                       "version of the configuration in force",
+                                       &read_field<&steering_gauges::configuration_version>},
     gauge_description<steering_gauges>{"bramleytrack_known_revision",
-                                       "newest revision of the store that is known",
-                                       &read_member<&steering_gauges::known_revision>},
+                                       "newest store revision that this instance holds",
+                                       &read_field<&steering_gauges::known_revision>},
     gauge_description<steering_gauges>{
         "bramleytrack_confirmed_ms_ago",
-        "age of the newest word that what is known is still true; -1 is never",
-        &read_member<&steering_gauges::confirmed_ms_ago>},
+        "milliseconds since what is held was last confirmed as current; -1: never",
+        &read_field<&steering_gauges::confirmation_age_ms>},
     gauge_description<steering_gauges>{"bramleytrack_targets",
-                                       "targets known, with those that ended lately",
-                                       &read_member<&steering_gauges::targets>},
+                                       "targets held, including those that ended recently",
+                                       &read_field<&steering_gauges::targets>},
     gauge_description<steering_gauges>{"bramleytrack_zones_out", "availability zones taken out",
-                                       &read_member<&steering_gauges::zones_out>},
-    gauge_description<steering_gauges>{"bramleytrack_peers", "instances registered",
-                                       &read_member<&steering_gauges::peers>},
-    gauge_description<steering_gauges>{"bramleytrack_flows", "flows seen here and not closed",
-                                       &read_member<&steering_gauges::flows>},
+                                       &read_field<&steering_gauges::zones_out>},
+    gauge_description<steering_gauges>{"bramleytrack_peers", "registered instances",
+                                       &read_field<&steering_gauges::peers>},
+    gauge_description<steering_gauges>{"bramleytrack_flows",
+                                       "flows seen by this instance and not closed",
+                                       &read_field<&steering_gauges::flows>},
     gauge_description<steering_gauges>{"bramleytrack_store_calls", "calls made to the store",
-                                       &read_member<&steering_gauges::store_calls>},
+                                       &read_field<&steering_gauges::store_calls>},
     gauge_description<steering_gauges>{"bramleytrack_lost_log_lines",
-                                       "lines left out: the output wasn't read",
-                                       &read_member<&steering_gauges::lost_log_lines>},
+                                       "log lines left out because the output wasn't read",
+                                       &read_field<&steering_gauges::dropped_log_lines>},
     gauge_description<steering_gauges>{"bramleytrack_malformed_datagrams",
                                        "datagrams that couldn't be decoded",
-                                       &read_member<&steering_gauges::malformed_datagrams>},
+                                       &read_field<&steering_gauges::malformed_datagrams>},
     gauge_description<steering_gauges>{"bramleytrack_rejected_peer_messages",
-                                       "messages of peers that weren't authentic or readable",
-                                       &read_member<&steering_gauges::rejected_peer_messages>},
-    gauge_description<steering_gauges>{"bramleytrack_dropped_sends",
-                                       "datagrams that the system didn't take",
-                                       &read_member<&steering_gauges::dropped_sends>},
+                                       "messages of peers that were unauthenticated or malformed",
+                                       &read_field<&steering_gauges::rejected_peer_messages>},
+    gauge_description<steering_gauges>{
+        "bramleytrack_dropped_sends",
+        "datagrams that the operating system didn't accept for sending",
+        &read_field<&steering_gauges::dropped_sends>},
     gauge_description<steering_gauges>{"bramleytrack_target_probes",
-                                       "connections made to see whether a target lives",
-                                       &read_member<&steering_gauges::target_probes>},
+                                       "connections made to check whether a target is reachable",
+                                       &read_field<&steering_gauges::target_probes>},
     gauge_description<steering_gauges>{"bramleytrack_targets_found_dead",
                                        "targets found dead by this instance and its peers",
-                                       &read_member<&steering_gauges::targets_found_dead>},
-    gauge_description<steering_gauges>{"bramleytrack_store_reachable", "1 while the store answers",
-                                       &read_member<&steering_gauges::is_store_reachable>},
-    gauge_description<steering_gauges>{"bramleytrack_ready", "1 while new flows are wanted here",
-                                       &read_member<&steering_gauges::is_ready>},
+                                       &read_field<&steering_gauges::targets_found_dead>},
+    gauge_description<steering_gauges>{"bramleytrack_store_reachable",
+                                       "1 while the store is reachable",
+                                       &read_field<&steering_gauges::is_store_reachable>},
+    gauge_description<steering_gauges>{"bramleytrack_ready",
+                                       "1 while new flows are wanted on this instance",
+                                       &read_field<&steering_gauges::is_ready>},
 };
 
-std::string outcome_of(const steering::decision& made) {
-    if (const auto* refused = std::get_if<steering::refuse>(&made)) {
+std::string outcome_label(const steering::decision& decision) {
+    if (const auto* refused = std::get_if<steering::refuse>(&decision)) {
         return "refused_" + std::string{name_of(refused->reason)};
     }
-    const auto* dropped = std::get_if<steering::drop>(&made);
+    const auto* dropped = std::get_if<steering::drop>(&decision);
     return dropped == nullptr ? "forwarded" : "dropped_" + std::string{name_of(dropped->reason)};
 }
 
@@ -87,66 +92,73 @@
     prometheus::Family<prometheus::Histogram>& opening_times =
         prometheus::BuildHistogram()
             .Name("bramleytrack_opening_seconds")
-            .Help("time from the first opening packet seen here to the caller's next, by service")
+            .Help(
+                "time from the first opening packet seen by this instance to the caller's next "
+                "packet, by service")
             .Register(registry);
     prometheus::Family<prometheus::Histogram>& answer_times =
         prometheus::BuildHistogram()
             .Name("bramleytrack_answer_seconds")
-            .Help("time from a request's first byte to the first of its answer, by service")
+            .Help(
+                "time from the first byte of a request to the first byte of its answer, by service")
             .Register(registry);
     prometheus::Family<prometheus::Counter>& decisions =
         prometheus::BuildCounter()
             .Name("bramleytrack_openings_total")
-            .Help("what became of opening packets, and of later packets that weren't forwarded")
+            .Help(
+                "what was decided for opening packets, and for later packets that weren't "
+                "forwarded")
             .Register(registry);
     prometheus::Family<prometheus::Gauge>& slots =
         prometheus::BuildGauge()
             .Name("bramleytrack_service_slots")
-            .Help("slots of the service's targets that take flows")
+            .Help("slots of the service's targets that accept new flows")
             .Register(registry);
     prometheus::Family<prometheus::Gauge>& open =
         prometheus::BuildGauge()
             .Name("bramleytrack_service_open_requests")
-            .Help("requests open on those targets, through this instance and through the others")
+            .Help("requests open on those targets, through this instance and through others")
             .Register(registry);
-    prometheus::Family<prometheus::Gauge>& wanted =
+    prometheus::Family<prometheus::Gauge>& demand =
         prometheus::BuildGauge()
             .Name("bramleytrack_service_wanted")
-            .Help("requests and openings of about the last half second")
+            .Help("demand: requests and openings of about the last half second")
             .Register(registry);
-    // Looking a series up by its labels costs more than the packet itself.
-    std::map<std::string, prometheus::Histogram*, std::less<>> openings_by_service;
-    std::map<std::string, prometheus::Histogram*, std::less<>> answers_by_service;
+    // Caches the series per service: looking one up by its labels costs more than handling a
+    // packet.
+    std::map<std::string, prometheus::Histogram*, std::less<>> opening_histograms;
+    std::map<std::string, prometheus::Histogram*, std::less<>> answer_histograms;
 
     static prometheus::Histogram& find(
         std::map<std::string, prometheus::Histogram*, std::less<>>& cache,
         prometheus::Family<prometheus::Histogram>& family, const std::string& service) {
-        auto& known = cache[service];
-        if (known == nullptr) {
-            known = &family.Add({{"service", service}}, bucket_boundaries());
+        auto& histogram = cache[service];
+        if (histogram == nullptr) {
+            histogram = &family.Add({{"service", service}}, bucket_boundaries());
         }
-        return *known;
+        return *histogram;
     }
 };
 
 steering_metrics::steering_metrics() : implementation_{std::make_unique<implementation>()} {}
 steering_metrics::~steering_metrics() = default;
 
-void steering_metrics::on_opening_answered(const discovery::target& by, clock::duration took) {
+void steering_metrics::on_opening_answered(const discovery::target& answered_by,
+                                           clock::duration elapsed) {
     auto& self = *implementation_;
-    implementation::find(self.openings_by_service, self.opening_times, by.entry.service)
-        .Observe(static_cast<double>(took.count()) / milliseconds_per_second);
+    implementation::find(self.opening_histograms, self.opening_times, answered_by.entry.service)
+        .Observe(static_cast<double>(elapsed.count()) / milliseconds_per_second);
 }
 
-void steering_metrics::on_answer(const discovery::target& by, clock::duration took) {
+void steering_metrics::on_answer(const discovery::target& answered_by, clock::duration elapsed) {
     auto& self = *implementation_;
-    implementation::find(self.answers_by_service, self.answer_times, by.entry.service)
-        .Observe(static_cast<double>(took.count()) / milliseconds_per_second);
+    implementation::find(self.answer_histograms, self.answer_times, answered_by.entry.service)
+        .Observe(static_cast<double>(elapsed.count()) / milliseconds_per_second);
 }
 
-void steering_metrics::on_decision(std::string_view service, const steering::decision& made) {
+void steering_metrics::on_decision(std::string_view service, const steering::decision& decision) {
     implementation_->decisions
-        .Add({{"service", std::string{service}}, {"outcome", outcome_of(made)}})
+        .Add({{"service", std::string{service}}, {"outcome", outcome_label(decision)}})
         .Increment();
 }
 
@@ -154,15 +166,15 @@
                                      std::span<const service_gauges> services) {
     auto& self = *implementation_;
     for (const auto& each : services) {
-        const auto set = [&each](prometheus::Family<prometheus::Gauge>& family, double value,
-                                 const std::string& through) {
+        const auto set_gauge = [&each](prometheus::Family<prometheus::Gauge>& family, double value,
+                                       const std::string& through) {
             family.Add({{"service", each.service}, {"through", through}}).Set(value);
         };
         self.slots.Add({{"service", each.service}}).Set(each.slots);
-        set(self.open, each.open_local, "this");
-        set(self.open, each.open_remote, "others");
-        set(self.wanted, each.demand_local, "this");
-        set(self.wanted, each.demand_remote, "others");
+        set_gauge(self.open, each.open_local, "this");
+        set_gauge(self.open, each.open_remote, "others");
+        set_gauge(self.demand, each.demand_local, "this");
+        set_gauge(self.demand, each.demand_remote, "others");
     }
     return render_registry<steering_gauges>(self.registry, gauges, state);
 }
--- a/libraries/observability/steering_metrics.h
+++ b/libraries/observability/steering_metrics.h
@@ -1,4 +1,4 @@
-// Counters and histograms of an instance that routes by token, in the Prometheus text format.
+// Metrics of an instance that routes by token, in the Prometheus text format.
 #pragma once
 
 #include <memory>
@@ -9,27 +9,27 @@
 
 namespace bramleytrack::observability {
 
-// How much callers ask of one service, see steering::admission.
+// Capacity, open requests and demand of one service; see steering::admission.
 struct service_gauges {
     std::string service;
-    double slots = 0;  // of its targets that take flows
+    double slots = 0;  // of its targets that accept new flows
     double open_local = 0;
     double open_remote = 0;
     double demand_local = 0;
     double demand_remote = 0;
 };
 
-// What is read off the state when the metrics are asked for.
+// Values of the instance's state at the time of a scrape.
 struct steering_gauges {
-    std::int64_t catalogue_version = 0;
+    std::int64_t configuration_version = 0;
     std::int64_t known_revision = 0;
-    std::int64_t confirmed_ms_ago = -1;  // -1: never
+    std::int64_t confirmation_age_ms = -1;  // -1: never
     std::int64_t targets = 0;
     std::int64_t zones_out = 0;
     std::int64_t peers = 0;
     std::int64_t flows = 0;
     std::int64_t store_calls = 0;
-    std::int64_t lost_log_lines = 0;
+    std::int64_t dropped_log_lines = 0;
     std::int64_t malformed_datagrams = 0;
     std::int64_t rejected_peer_messages = 0;
     std::int64_t dropped_sends = 0;
@@ -44,9 +44,10 @@
     steering_metrics();
     ~steering_metrics() override;
 
-    void on_opening_answered(const discovery::target& by, clock::duration took) override;
-    void on_answer(const discovery::target& by, clock::duration took) override;
-    void on_decision(std::string_view service, const steering::decision& made) override;
+    void on_opening_answered(const discovery::target& answered_by,
+                             clock::duration elapsed) override;
+    void on_answer(const discovery::target& answered_by, clock::duration elapsed) override;
+    void on_decision(std::string_view service, const steering::decision& decision) override;
 
     std::string render(const steering_gauges& state, std::span<const service_gauges> services);
 
--- a/libraries/steering/cold_gate.cpp
+++ b/libraries/steering/cold_gate.cpp
@@ -46,13 +46,13 @@
     }
     const auto found = allowances_.find(subject.token);
     if (found != allowances_.end()) {
-        found->second.take(1);
+        found->second.consume(1);
     }
 }
 
 void cold_gate::expire(clock::time_point now) {
     std::erase_if(allowances_, [now](const auto& each) {
-        return now - each.second.filled_at() > allowance_lifetime;
+        return now - each.second.refilled_at() > allowance_lifetime;
     });
 }
 
--- a/services/bramleyd/steering_daemon.cpp
+++ b/services/bramleyd/steering_daemon.cpp
@@ -396,15 +396,15 @@
                             .demand_local = use.wants().here,
                             .demand_remote = use.wants().elsewhere});
     }
-    return metrics_.render({.catalogue_version = directory_.in_force().version,
+    return metrics_.render({.configuration_version = directory_.in_force().version,
                             .known_revision = mirror_.revision(),
-                            .confirmed_ms_ago = confirmed_milliseconds_ago(now),
+                            .confirmation_age_ms = confirmed_milliseconds_ago(now),
                             .targets = static_cast<std::int64_t>(directory_.target_count()),
                             .zones_out = static_cast<std::int64_t>(directory_.zones_out().size()),
                             .peers = static_cast<std::int64_t>(directory_.peers().size()),
                             .flows = static_cast<std::int64_t>(steering_.flows().size()),
                             .store_calls = feed_.calls(),
-                            .lost_log_lines = observability::lost_log_lines(),
+                            .dropped_log_lines = observability::dropped_log_lines(),
                             .malformed_datagrams = malformed_,
                             .rejected_peer_messages = exchange_.rejected(),
                             .dropped_sends = packets_.dropped_sends(),
--- a/services/bramleyd/steering_daemon.h
+++ b/services/bramleyd/steering_daemon.h
@@ -75,7 +75,7 @@
     settings_reader read_settings_;
     platform_parts parts_;
     ev::loop_ref loop_;
-    observability::budgeted_log log_;
+    observability::rate_limited_log log_;
     observability::steering_metrics metrics_;
     store::mirror mirror_;
     discovery::directory directory_;
--- a/tests/metrics_test.cpp
+++ b/tests/metrics_test.cpp
@@ -1,4 +1,4 @@
-// What an operator's scraper reads from one instance.
+// Tests the Prometheus text that an instance exposes.
 #include "observability/metrics.h"
 
 #include <gmock/gmock.h>
@@ -29,7 +29,7 @@
             .elapsed = clock::duration{30}};
 }
 
-TEST(metrics, times_are_kept_per_member_and_per_service) {
+TEST(metrics, records_latency_per_member_and_per_service) {
     observability::metrics metrics;
     metrics.observe(answered("kauri"));
     metrics.observe(answered("kauri"));
@@ -40,9 +40,9 @@
                                 "service=\"board\",le=\"0.05\"} 2"));
 }
 
-TEST(metrics, invented_member_names_share_one_series) {
-    // A caller sends each request under a new member name. Without a bound the instance's memory
-    // grows with every name, until it is killed together with its flows.
+TEST(metrics, members_beyond_the_maximum_share_one_series) {
+    // A caller sends each request under a new member name. Without a bound, memory grows with every
+    // name until the instance is killed for lack of memory and its flows are lost.
     observability::metrics metrics;
     for (std::size_t i = 0; i < observability::max_members + 10; ++i) {
         metrics.observe(answered("member-" + std::to_string(i)));
@@ -52,9 +52,10 @@
     EXPECT_THAT(text, Not(HasSubstr("member-" + std::to_string(observability::max_members))));
 }
 
-TEST(steering_metrics, tell_who_asks_a_service_for_how_much) {
-    // A service is asked for more than it bears. Operators see from one instance how full its
-    // targets are, and which part of the load comes through that instance.
+TEST(steering_metrics, reports_capacity_and_demand_per_service) {
+    // A service gets more requests than its targets have slots for. The metrics of a single
+    // instance must show operators how full the targets are and how much of the load comes through
+    // that instance.
     observability::steering_metrics metrics;
     const std::array services{observability::service_gauges{.service = "board",
                                                             .slots = 56,
--- a/tests/steering_regions_test.cpp
+++ b/tests/steering_regions_test.cpp
@@ -16,7 +16,7 @@
     discovery::directory known_;
     fleet::peer_digests digests_{known_, "self", "north", 1};
     steering::cold_gate cold_{"self"};
-    observability::budgeted_log log_;
+    observability::rate_limited_log log_;
     observability::steering_metrics metrics_;
     steering::steering subject_{
         {.zone = "north", .regions = {{"north", "island"}, {"far", "mainland"}}},
--- a/tests/steering_waiting_copies_test.cpp
+++ b/tests/steering_waiting_copies_test.cpp
@@ -54,7 +54,7 @@
     discovery::directory known_;
     fleet::peer_digests digests_{known_, "self", "north", 1};
     steering::cold_gate cold_{"self"};
-    observability::budgeted_log log_;
+    observability::rate_limited_log log_;
     observability::steering_metrics metrics_;
     steering::steering subject_{
         {.zone = "north", .regions = {}}, known_, cold_, digests_, log_, metrics_};
