--- a/libraries/fleet/target_failure_detector.cpp
+++ b/libraries/fleet/target_failure_detector.cpp
@@ -209,7 +209,7 @@
     if (probes_.refill(limits_.probes_per_second, now) < 1) {
         return nullptr;
     }
-    probes_.take(1);
+    probes_.consume(1);
     auto& subject = checks_[target.token];
     subject.phase_since = now;
     subject.probed_at = now;
--- a/libraries/steering/cold_gate.cpp
+++ b/libraries/steering/cold_gate.cpp
@@ -46,13 +46,13 @@
     }
     const auto found = allowances_.find(target.token);
     if (found != allowances_.end()) {
-        found->second.take(1);
+        found->second.consume(1);
     }
 }
 
 void cold_gate::expire(clock::time_point now) {
     std::erase_if(allowances_, [now](const auto& each) {
-        return now - each.second.filled_at() > allowance_lifetime;
+        return now - each.second.refilled_at() > allowance_lifetime;
     });
 }
 
--- a/services/bramleyd/steering_daemon.cpp
+++ b/services/bramleyd/steering_daemon.cpp
@@ -407,15 +407,15 @@
                             .demand_local = usage.demand().local,
                             .demand_remote = usage.demand().remote});
     }
-    return metrics_.render({.catalogue_version = directory_.current_catalogue().version,
+    return metrics_.render({.configuration_version = directory_.current_catalogue().version,
                             .known_revision = mirror_.revision(),
-                            .confirmed_ms_ago = confirmed_milliseconds_ago(now),
+                            .confirmation_age_ms = confirmed_milliseconds_ago(now),
                             .targets = static_cast<std::int64_t>(directory_.target_count()),
                             .zones_out = static_cast<std::int64_t>(directory_.zones_out().size()),
                             .peers = static_cast<std::int64_t>(directory_.peers().size()),
                             .flows = static_cast<std::int64_t>(steering_.flows().size()),
                             .store_calls = feed_.calls(),
-                            .lost_log_lines = observability::lost_log_lines(),
+                            .dropped_log_lines = observability::dropped_log_lines(),
                             .malformed_datagrams = malformed_datagrams_,
                             .rejected_peer_messages = peer_exchange_.rejected_messages(),
                             .dropped_sends = packet_socket_.dropped_sends(),
--- a/services/bramleyd/target_checks.cpp
+++ b/services/bramleyd/target_checks.cpp
@@ -74,7 +74,7 @@
 
 void target_checks::probe(const discovery::target& target) {
     ++probes_started_;
-    probes_.begin(to_socket_address(target.entry.address), probe_timeout,
+    probes_.start(to_socket_address(target.entry.address), probe_timeout,
                   [this, token = target.token](bool is_reachable) {
                       failure_detector_.on_probe_result(token, is_reachable, clock::now());
                   });
--- a/tests/steering_waiting_copies_test.cpp
+++ b/tests/steering_waiting_copies_test.cpp
@@ -54,7 +54,7 @@
     discovery::directory directory_;
     fleet::peer_digests digests_{directory_, "self", "north", 1};
     steering::cold_gate cold_gate_{"self"};
-    observability::budgeted_log log_;
+    observability::rate_limited_log log_;
     observability::steering_metrics metrics_;
     steering::steering steering_{
         {.zone = "north", .regions = {}}, directory_, cold_gate_, digests_, log_, metrics_};
