--- a/libraries/hand_over/hand_overs.cpp
+++ b/libraries/hand_over/hand_overs.cpp
@@ -261,9 +261,10 @@
                                    clock::time_point now) {
     const auto& head = whole.parts.begin()->second;
     const auto fence = now + clock::duration{head.fence_ms};
-    shared_.ownership.acquire(
-        target.name,
-        {.acquired_by = origin::handed_over, .since = now, .epoch = whole.epoch, .fence_until = fence});
+    shared_.ownership.acquire(target.name, {.acquired_by = origin::handed_over,
+                                            .since = now,
+                                            .epoch = whole.epoch,
+                                            .fence_until = fence});
     shared_.flows.erase_on(target.name);  // what this instance knew as a home only
     std::int64_t flows = 0;
     for (const auto& [number, part] : whole.parts) {
--- a/libraries/requests/target_owner.cpp
+++ b/libraries/requests/target_owner.cpp
@@ -179,12 +179,12 @@
     auto& added = shared_.flows.put(
         record, is_open ? flows::flow_state::opening : flows::flow_state::established, now);
     added.home_id = flows::home_id_of({.self = shared_.self,
-                                           .configuration = shared_.configuration,
-                                           .peers = shared_.peers,
-                                           .ownership = shared_.ownership,
-                                           .flows = shared_.flows,
-                                           .out = shared_.out},
-                                          content.service_name, key, now);
+                                       .configuration = shared_.configuration,
+                                       .peers = shared_.peers,
+                                       .ownership = shared_.ownership,
+                                       .flows = shared_.flows,
+                                       .out = shared_.out},
+                                      content.service_name, key, now);
     ++shared_.loads[content.target].connections;
     if (!is_open) {
         shared_.loads[content.target].inherited.on_recovered();
@@ -321,10 +321,11 @@
         shared_.loads[record.target].queue.erase(record.id);
     }
     const auto* target = shared_.configuration.find_target(record.target);
-    shared_.out.report_request_ended({.service = target == nullptr ? std::string{} : target->service,
-                            .member = outcome.member,
-                            .outcome = outcome.kind,
-                            .elapsed = now - record.arrived});
+    shared_.out.report_request_ended(
+        {.service = target == nullptr ? std::string{} : target->service,
+         .member = outcome.member,
+         .outcome = outcome.kind,
+         .elapsed = now - record.arrived});
     shared_.out.send_caller(outcome);
     shared_.requests.end(record, std::move(outcome), now);
 }
--- a/tests/support/flow_fleet.cpp
+++ b/tests/support/flow_fleet.cpp
@@ -36,7 +36,8 @@
 
 void flow_fleet::send(std::string_view kind, int first, int last) {
     for (int flow = first; flow <= last; ++flow) {
-        const auto& via = running_instances_[static_cast<std::size_t>(flow) % running_instances_.size()];
+        const auto& via =
+            running_instances_[static_cast<std::size_t>(flow) % running_instances_.size()];
         run(std::string{kind} + " flow=" + std::to_string(flow) + " via=" + via +
             (kind == "request" ? " request=1" : ""));
     }
