--- a/services/bramleyctl/commands.cpp
+++ b/services/bramleyctl/commands.cpp
@@ -9,7 +9,7 @@
 #include <thread>
 
 #include "base/read_file.h"
-#include "configuration/change_trail.h"
+#include "configuration/change_log.h"
 #include "configuration/difference.h"
 #include "configuration/parse.h"
 #include "explain.h"
@@ -96,7 +96,7 @@
         // Failure: an operator applies a file that was taken from the store before a colleague's
         // change, and silently undoes it. The trail that the file still carries gives it away.
         const auto missed = configuration::changes_between(*text, before.value);
-        if (!configuration::trail_of(*text).empty() && !missed.empty()) {
+        if (!configuration::change_log_of(*text).empty() && !missed.empty()) {
             return report_conflict(missed);
         }
         return write(*text, before, "apply " + argument(1));
@@ -252,7 +252,7 @@
         }
     }
 
-    static int report_conflict(std::span<const configuration::change_mark> missed) {
+    static int report_conflict(std::span<const configuration::change_log_entry> missed) {
         const int status = fail(result_code::version_conflict,
                                 "nothing was written; changed by others meanwhile:");
         for (const auto& each : missed) {
@@ -273,8 +273,8 @@
     }
 
     int write(const std::string& text, const stored_text& before, const std::string& description) {
-        const configuration::change_mark mark{new_change_id(), description};
-        const auto marked = configuration::with_trail(text, before.value, mark);
+        const configuration::change_log_entry mark{new_change_id(), description};
+        const auto marked = configuration::with_change_log(text, before.value, mark);
         const auto parsed = configuration::parse_configuration(marked, before.version + 1);
         if (const auto* faults = std::get_if<std::vector<configuration::fault>>(&parsed)) {
             print_faults("configuration", *faults);
--- a/services/bramleyctl/store_session.cpp
+++ b/services/bramleyctl/store_session.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "configuration/change_trail.h"
+#include "configuration/change_log.h"
 #include "net/udp_endpoint.h"
 
 namespace bramleytrack::ctl {
@@ -96,7 +96,7 @@
             return written{.version = found->revision};
         case write_outcome::took_effect_and_replaced:
             return written{.version = found->revision, .is_replaced = true};
-        case write_outcome::another_came_first:
+        case write_outcome::conflict:
             return result_code::version_conflict;
         case write_outcome::not_written:
             break;
--- a/services/bramleyctl/store_session.h
+++ b/services/bramleyctl/store_session.h
@@ -31,7 +31,7 @@
 
     // Writes when the key still has version `expected` (0: must not exist). A value's version is
     // the store's revision of its last write. `id` is the value's newest mark (see
-    // configuration/change_trail.h).
+    // configuration/change_log.h).
     //
     // An answer that is lost is resolved by trying again, which the compare-and-swap makes
     // idempotent, and then by looking for the mark: it tells "mine took effect, then another" from
--- a/tests/store_write_test.cpp
+++ b/tests/store_write_test.cpp
@@ -6,7 +6,7 @@
 #include <unistd.h>
 
 #include "bramleyctl/store_session.h"
-#include "configuration/change_trail.h"
+#include "configuration/change_log.h"
 #include "configuration/difference.h"
 #include "configuration/parse.h"
 #include "net/udp_endpoint.h"
@@ -16,8 +16,8 @@
 namespace bramleytrack {
 namespace {
 
-using configuration::change_mark;
-using configuration::with_trail;
+using configuration::change_log_entry;
+using configuration::with_change_log;
 using ctl::written;
 using outcome = std::variant<written, result_code>;
 
@@ -78,7 +78,7 @@
 TEST_F(store_write, a_lost_answer_is_no_conflict) {
     // The store writes the text and its answer is lost. The operator's tool tried again, met its
     // own write and said that someone else had been first.
-    const auto text = with_trail("{}", "", {"mine", "apply"});
+    const auto text = with_change_log("{}", "", {"mine", "apply"});
     set_fault("lost", "1");
     EXPECT_EQ(session.compare_and_swap(key, 0, text, "mine"), outcome{written{.version = 2}});
     EXPECT_EQ(writes, 1);
@@ -88,9 +88,11 @@
     // The write takes effect, its answer is lost, and a second operator writes on top of it before
     // the tool reads again. The value in the store is not ours any more, yet our change is in
     // force: calling it a conflict makes the operator repeat it.
-    const auto mine = with_trail("{}", "", {"mine", "zone out north"});
+    const auto mine = with_change_log("{}", "", {"mine", "zone out north"});
     set_fault("lost", "1");
-    after_write = [&] { write_as_other(with_trail("{}", mine, {"theirs", "target drain t"})); };
+    after_write = [&] {
+        write_as_other(with_change_log("{}", mine, {"theirs", "target drain t"}));
+    };
     EXPECT_EQ(session.compare_and_swap(key, 0, mine, "mine"),
               (outcome{written{.version = 3, .is_replaced = true}}));
 }
@@ -98,15 +100,15 @@
 TEST_F(store_write, the_second_of_two_operators_is_told_what_changed) {
     // Two operators read the same version. The second write is refused and names the first's
     // change.
-    const auto base = with_trail("{}", "", {"base", "apply"});
+    const auto base = with_change_log("{}", "", {"base", "apply"});
     const auto read_by_both = write_as_other(base);
-    const auto theirs = with_trail("{}", base, {"theirs", "zone out north"});
+    const auto theirs = with_change_log("{}", base, {"theirs", "zone out north"});
     write_as_other(theirs);
-    const auto mine = with_trail("{}", base, {"mine", "target drain t"});
+    const auto mine = with_change_log("{}", base, {"mine", "target drain t"});
     EXPECT_EQ(session.compare_and_swap(key, read_by_both, mine, "mine"),
               outcome{result_code::version_conflict});
     EXPECT_EQ(configuration::changes_between(base, theirs),
-              (std::vector<change_mark>{{"theirs", "zone out north"}}));
+              (std::vector<change_log_entry>{{"theirs", "zone out north"}}));
     const auto now = session.read(key);
     EXPECT_EQ(std::get<store::lookup_result>(now).content->value, theirs);
 }
@@ -121,21 +123,22 @@
 TEST_F(store_write, a_store_that_stays_down_leaves_the_write_in_doubt) {
     // Nothing answers until the timeout. Neither "written" nor "not written" would be true.
     set_fault("down", "1");
-    EXPECT_EQ(session.compare_and_swap(key, 0, with_trail("{}", "", {"mine", ""}), "mine"),
+    EXPECT_EQ(session.compare_and_swap(key, 0, with_change_log("{}", "", {"mine", ""}), "mine"),
               outcome{result_code::write_in_doubt});
     EXPECT_LE(writes, 6);
 }
 
-TEST(change_trail, keeps_the_newest_and_the_text) {
+TEST(change_log, keeps_the_newest_and_the_text) {
     std::string text = "{\n  // a comment of the operators\n}\n";
     const auto bare = text;
     for (int i = 0; i < 40; ++i) {
-        text = with_trail(text, text, {"id" + std::to_string(i), "change\n" + std::to_string(i)});
+        text =
+            with_change_log(text, text, {"id" + std::to_string(i), "change\n" + std::to_string(i)});
     }
-    const auto marks = configuration::trail_of(text);
-    ASSERT_EQ(marks.size(), configuration::max_trail_length);
-    EXPECT_EQ(marks.back(), (change_mark{"id39", "change 39"}));
-    EXPECT_EQ(configuration::without_trail(text), bare);
+    const auto marks = configuration::change_log_of(text);
+    ASSERT_EQ(marks.size(), configuration::max_change_log_entries);
+    EXPECT_EQ(marks.back(), (change_log_entry{"id39", "change 39"}));
+    EXPECT_EQ(configuration::without_change_log(text), bare);
 }
 
 TEST(difference, names_what_changed) {
