--- a/benchmarks/configuration_benchmark.cpp
+++ b/benchmarks/configuration_benchmark.cpp
@@ -1,4 +1,4 @@
-// Nanoseconds for the look-ups that each packet needs, by the number of targets.
+// Time of the look-ups that are made for each packet, by number of targets.
 #include <benchmark/benchmark.h>
 
 #include "configuration/configuration.h"
@@ -7,7 +7,7 @@
 namespace bramleytrack {
 namespace {
 
-configuration::configuration with_targets(std::size_t count) {
+configuration::configuration make_configuration(std::size_t count) {
     configuration::configuration result;
     result.zones = {{.name = "north"}, {.name = "south"}, {.name = "west"}};
     result.services = {{.name = "board", .address = "10.0.0.1:443", .depends_on = {}}};
@@ -19,12 +19,12 @@
         added.address = "10.1.0.1:" + std::to_string(i);
         result.targets.push_back(std::move(added));
     }
-    result.finish();
+    result.build_indexes();
     return result;
 }
 
 void candidates_of(benchmark::State& state) {
-    const auto configuration = with_targets(static_cast<std::size_t>(state.range(0)));
+    const auto configuration = make_configuration(static_cast<std::size_t>(state.range(0)));
     routing::flow_key key = 0;
     for (auto _ : state) {
         benchmark::DoNotOptimize(routing::candidates_of(configuration, "board", ++key));
@@ -33,7 +33,7 @@
 
 void find_target_by_address(benchmark::State& state) {
     const auto count = static_cast<std::size_t>(state.range(0));
-    const auto configuration = with_targets(count);
+    const auto configuration = make_configuration(count);
     std::size_t next = 0;
     for (auto _ : state) {
         next = (next + 1) % count;
@@ -42,15 +42,18 @@
     }
 }
 
-constexpr std::int64_t association_targets = 14;
-constexpr std::int64_t busy_service_targets = 100;
-constexpr std::int64_t planned_targets = 4'700;
+constexpr std::int64_t small_fleet_targets = 14;
+constexpr std::int64_t large_service_targets = 100;
+constexpr std::int64_t planned_fleet_targets = 4'700;
 
-BENCHMARK(candidates_of)->Arg(association_targets)->Arg(busy_service_targets)->Arg(planned_targets);
+BENCHMARK(candidates_of)
+    ->Arg(small_fleet_targets)
+    ->Arg(large_service_targets)
+    ->Arg(planned_fleet_targets);
 BENCHMARK(find_target_by_address)
-    ->Arg(association_targets)
-    ->Arg(busy_service_targets)
-    ->Arg(planned_targets);
+    ->Arg(small_fleet_targets)
+    ->Arg(large_service_targets)
+    ->Arg(planned_fleet_targets);
 
 }  // namespace
 }  // namespace bramleytrack
--- a/libraries/configuration/configuration.cpp
+++ b/libraries/configuration/configuration.cpp
@@ -62,22 +62,23 @@
 
 void configuration::keep_removed(const configuration& before) {
     constexpr std::size_t max_removed = 256;
-    std::vector<target> kept;
+    std::vector<target> retained;
     for (const auto& each : before.targets) {
-        const bool is_free =
+        const bool is_unused =
             find_target(each.name) == nullptr && find_target_by_address(each.address) == nullptr;
-        if (is_free && find_service(each.service) != nullptr && find_zone(each.zone) != nullptr) {
-            kept.push_back(each);
-            kept.back().state = target_state::removed;
+        if (is_unused && find_service(each.service) != nullptr && find_zone(each.zone) != nullptr) {
+            retained.push_back(each);
+            retained.back().state = target_state::removed;
         }
     }
-    // The ones that were removed first stand last in the list before; the newest are kept.
-    kept.resize(std::min(kept.size(), max_removed));
-    targets.insert(targets.end(), kept.begin(), kept.end());
-    finish();
+    // `before.targets` ends with the targets that were removed earliest, so these are dropped
+    // first.
+    retained.resize(std::min(retained.size(), max_removed));
+    targets.insert(targets.end(), retained.begin(), retained.end());
+    build_indexes();
 }
 
-void configuration::finish() {
+void configuration::build_indexes() {
     services_by_name_.build(services, &service::name);
     services_by_address_.build(services, &service::address);
     targets_by_name_.build(targets, &target::name);
@@ -85,27 +86,27 @@
     zones_by_name_.build(zones, &zone::name);
     instances_by_name_.build(instances, &instance_entry::name);
 
-    struct grouped {
+    struct grouped_target {
         std::size_t service;
         scored_target entry;
     };
-    std::vector<grouped> all;
+    std::vector<grouped_target> entries;
     for (std::size_t i = 0; i < targets.size(); ++i) {
         const auto* owner = find_service(targets[i].service);
         const bool is_removed = targets[i].state == target_state::removed;
         if (owner != nullptr && !is_removed && is_zone_in(targets[i].zone)) {
-            all.push_back({static_cast<std::size_t>(owner - services.data()),
-                           {.name_hash = hash_of(targets[i].name),
-                            .weight = targets[i].weight,
-                            .position = static_cast<std::uint32_t>(i)}});
+            entries.push_back({static_cast<std::size_t>(owner - services.data()),
+                               {.name_hash = hash_of(targets[i].name),
+                                .weight = targets[i].weight,
+                                .position = static_cast<std::uint32_t>(i)}});
         }
     }
-    std::ranges::stable_sort(all, {}, [](const grouped& each) {
+    std::ranges::stable_sort(entries, {}, [](const grouped_target& each) {
         return std::tuple{each.service, each.entry.weight};
     });
     scored_targets_.clear();
     scored_group_ends_.assign(services.size(), 0);
-    for (const auto& each : all) {
+    for (const auto& each : entries) {
         scored_targets_.push_back(each.entry);
         ++scored_group_ends_[each.service];
     }
--- a/libraries/configuration/configuration.h
+++ b/libraries/configuration/configuration.h
@@ -1,7 +1,7 @@
-// The operators' text as a checked, typed model: services, targets, zones, instances.
+// Typed model of the operators' configuration text: services, targets, zones, instances.
 //
-// Invariant: every configuration object has passed the checks of parse_configuration, so that
-// names are unique and every reference resolves.
+// Invariant: every configuration object has passed the validation in parse_configuration, so names
+// are unique and every reference resolves.
 #pragma once
 
 #include <cstdint>
@@ -16,11 +16,11 @@
 namespace bramleytrack::configuration {
 
 enum class zone_state { in, out };
-// removed: the text names the target no more; it keeps the flows that it has, and gets no new ones.
+// removed: no longer in the text; the target keeps its existing flows and gets no new ones.
 enum class target_state { active, draining, removed };
 enum class instance_state { active, retired };
 
-// As the operators' text spells them.
+// The spelling used in the configuration text.
 std::string_view to_string(zone_state state);
 std::string_view to_string(target_state state);
 std::string_view to_string(instance_state state);
@@ -32,8 +32,8 @@
 
 struct service {
     std::string name;
-    std::string address;                  // where callers send to; unique
-    std::vector<std::string> depends_on;  // names of services, without cycles
+    std::string address;                  // callers send to it; unique
+    std::vector<std::string> depends_on;  // names of services; acyclic
 };
 
 struct target {
@@ -41,9 +41,9 @@
     std::string zone;
     std::string service;
     std::string address;       // ip:port
-    int slots = 1;             // requests that may run at once
-    int connections = 1;       // flows that may be open at once
-    int cold_connections = 1;  // flows that it bears right after a cold start
+    int slots = 1;             // maximum number of concurrent requests
+    int connections = 1;       // maximum number of open flows
+    int cold_connections = 1;  // maximum number of open flows right after a cold start
     double weight = 1.0;       // share of the service's flows, relative to its other targets
     target_state state = target_state::active;
 };
@@ -53,7 +53,7 @@
     instance_state state = instance_state::active;
 };
 
-// A target that may be a candidate of its service's flows: everything that a score needs.
+// What rendezvous hashing needs of a target that may be a candidate for its service's flows.
 struct scored_target {
     std::uint64_t name_hash = 0;
     double weight = 1.0;
@@ -61,13 +61,13 @@
 };
 
 struct configuration {
-    std::int64_t version = 0;  // of the store's key; rises with each accepted change
+    std::int64_t version = 0;  // of the key in the store; increases with each accepted change
     std::uint64_t digest = 0;  // of the text; equal digests mean equal texts
     std::string text;
     std::vector<zone> zones;
     std::vector<service> services;
     std::vector<target> targets;
-    std::vector<instance_entry> instances;  // only those about which operators said something
+    std::vector<instance_entry> instances;  // only those that the text lists
 
     const service* find_service(std::string_view name) const;
     const service* find_service_by_address(std::string_view address) const;
@@ -77,23 +77,22 @@
     bool is_zone_in(std::string_view name) const;
     bool is_retired(std::string_view instance) const;
 
-    // The service's targets whose zone is in, those of equal weight next to each other; empty for
-    // an unknown service.
+    // The service's targets in zones that are in, sorted by weight; empty for an unknown service.
     std::span<const scored_target> scored_targets_of(std::string_view service) const;
 
-    // Keeps the targets that this text has left out, as removed, at most max_removed of them.
-    // Failure: an operator removes a target while boards are open on it, and their packets find no
-    // address any more. A target whose address, service or zone the text uses otherwise is not
-    // kept, so that its packets can't reach a stranger.
+    // Keeps targets of `before` that the text no longer lists, with state `removed`, at most
+    // max_removed of them. If an operator removes a target that still has open flows, their packets
+    // can still be routed to its address. A target is not kept if its name or address is in use
+    // again or its service or zone is gone: its packets must not reach an unrelated target.
     void keep_removed(const configuration& before);
 
-    // Builds the indexes below. parse_configuration calls it; who changes the lists by hand, as
-    // tests do, calls it afterwards.
-    void finish();
+    // Builds the indexes below. parse_configuration calls it; code that modifies the lists
+    // directly, such as tests, must call it afterwards.
+    void build_indexes();
 
 private:
-    // Invariant: the indexes describe the lists as they were at the last finish(). They hold
-    // positions only, so that copies and moves of the whole object keep it true.
+    // Invariant: the indexes describe the lists as of the last build_indexes(). They hold positions
+    // only, so they stay valid when the whole object is copied or moved.
     name_index services_by_name_;
     name_index services_by_address_;
     name_index targets_by_name_;
--- a/libraries/configuration/difference.cpp
+++ b/libraries/configuration/difference.cpp
@@ -7,20 +7,20 @@
 namespace bramleytrack::configuration {
 namespace {
 
-// A property of an item as a person reads it.
+// A property of an item, formatted for the operator.
 template <typename Item>
 struct property {
     std::string_view name;
     std::string (*read)(const Item& item);
 };
 
-std::string number(double value) {
+std::string format_number(double value) {
     std::string text(32, '\0');
     text.resize(static_cast<std::size_t>(std::snprintf(text.data(), text.size(), "%g", value)));
     return text;
 }
 
-std::string joined(const std::vector<std::string>& names) {
+std::string join_names(const std::vector<std::string>& names) {
     std::string result;
     for (const auto& each : names) {
         result += (result.empty() ? "" : ",") + each;
@@ -33,7 +33,7 @@
 };
 const std::vector<property<service>> service_properties{
     {"address", [](const service& each) { return each.address; }},
-    {"depends_on", [](const service& each) { return joined(each.depends_on); }},
+    {"depends_on", [](const service& each) { return join_names(each.depends_on); }},
 };
 const std::vector<property<target>> target_properties{
     {"zone", [](const target& each) { return each.zone; }},
@@ -42,7 +42,7 @@
     {"slots", [](const target& each) { return std::to_string(each.slots); }},
     {"connections", [](const target& each) { return std::to_string(each.connections); }},
     {"cold_connections", [](const target& each) { return std::to_string(each.cold_connections); }},
-    {"weight", [](const target& each) { return number(each.weight); }},
+    {"weight", [](const target& each) { return format_number(each.weight); }},
     {"state", [](const target& each) { return std::string{to_string(each.state)}; }},
 };
 const std::vector<property<instance_entry>> instance_properties{
--- a/libraries/configuration/difference.h
+++ b/libraries/configuration/difference.h
@@ -1,4 +1,5 @@
-// What one configuration changes in another, by name: for operators, and for those who lost a race.
+// Differences between two configurations by item name, shown to operators before an apply and after
+// a write conflict.
 #pragma once
 
 #include <string>
@@ -8,7 +9,7 @@
 
 namespace bramleytrack::configuration {
 
-// One line for each thing that was added, removed or changed, such as
+// One line for each item that was added or removed and for each changed property, such as
 // "target site-check-01: state active -> draining".
 std::vector<std::string> differences(const configuration& before, const configuration& after);
 
--- a/libraries/configuration/fault.cpp
+++ b/libraries/configuration/fault.cpp
@@ -11,12 +11,12 @@
 namespace bramleytrack::configuration {
 namespace {
 
-// More differences than these, and a word is no slip of the finger.
+// A key at a larger edit distance is not taken for a misspelling.
 constexpr std::size_t max_distance = 3;
 constexpr std::size_t max_compared_length = 40;
 
-// Levenshtein's distance, by rows.
-std::size_t distance(std::string_view first, std::string_view second) {
+// Levenshtein distance, computed row by row.
+std::size_t edit_distance(std::string_view first, std::string_view second) {
     std::vector<std::size_t> row(second.size() + 1);
     std::iota(row.begin(), row.end(), std::size_t{0});
     for (std::size_t i = 0; i < first.size(); ++i) {
@@ -37,18 +37,19 @@
            ": " + fault.message;
 }
 
-std::string unknown_key(std::string_view key, std::span<const std::string_view> known) {
+std::string unknown_key_message(std::string_view key,
+                                std::span<const std::string_view> allowed_keys) {
     const auto compared = key.substr(0, max_compared_length);
     const auto nearest = std::ranges::min_element(
-        known, {}, [&](std::string_view each) { return distance(compared, each); });
-    if (nearest != known.end() && distance(compared, *nearest) <= max_distance) {
+        allowed_keys, {}, [&](std::string_view each) { return edit_distance(compared, each); });
+    if (nearest != allowed_keys.end() && edit_distance(compared, *nearest) <= max_distance) {
         return "unknown key; did you mean \"" + std::string{*nearest} + "\"?";
     }
-    std::string all;
-    for (const auto each : known) {
-        all.append(all.empty() ? "" : ", ").append(each);
+    std::string list;
+    for (const auto each : allowed_keys) {
+        list.append(list.empty() ? "" : ", ").append(each);
     }
-    return "unknown key; allowed are " + all;
+    return "unknown key; allowed are " + list;
 }
 
 bool is_numeric_address(std::string_view text) {
--- a/libraries/configuration/fault.h
+++ b/libraries/configuration/fault.h
@@ -1,4 +1,4 @@
-// One fault in a text that a person wrote, and what helps them to mend it.
+// An error in a configuration or settings text, with what the operator needs to correct it.
 #pragma once
 
 #include <span>
@@ -8,19 +8,20 @@
 namespace bramleytrack::configuration {
 
 struct fault {
-    int line = 0;         // 1 is the first line; 0 where the text as a whole is meant
+    int line = 0;         // starts at 1; 0 for the text as a whole
     std::string path;     // JSON pointer (RFC 6901)
-    std::string message;  // what was found and what is allowed
+    std::string message;  // the value found and what is allowed
 };
 
 std::string to_string(const fault& fault);
 
-// "unknown key; did you mean ...?" with the nearest of `known` by edit distance, or all of them
-// when none is near.
-std::string unknown_key(std::string_view key, std::span<const std::string_view> known);
+// "unknown key; did you mean ...?" with the nearest of `allowed_keys` by edit distance, or the
+// whole list if none is similar.
+std::string unknown_key_message(std::string_view key,
+                                std::span<const std::string_view> allowed_keys);
 
-// True for a numeric IPv4 address and a port from 1 to 65535, such as 10.0.0.1:443. Names are not
-// looked up anywhere: an answer of a name service would differ between instances.
+// True for a numeric IPv4 address and a port from 1 to 65535, such as 10.0.0.1:443. Host names are
+// not resolved: DNS answers could differ between instances.
 bool is_numeric_address(std::string_view text);
 
 }  // namespace bramleytrack::configuration
--- a/libraries/configuration/json_shape.cpp
+++ b/libraries/configuration/json_source_map.cpp
@@ -1,4 +1,4 @@
-#include "configuration/json_shape.h"
+#include "configuration/json_source_map.h"
 
 #include <algorithm>
 #include <iterator>
@@ -13,7 +13,7 @@
 constexpr std::size_t max_depth = 8;
 constexpr std::size_t max_message_length = 200;
 
-// Reads characters and tells how far the parser has come.
+// Input iterator that also publishes the parser's read position.
 class tracking_iterator {
 public:
     using iterator_category = std::input_iterator_tag;
@@ -22,12 +22,12 @@
     using pointer = const char*;
     using reference = const char&;
 
-    tracking_iterator(const char* position, const char** reached)
-        : position_{position}, reached_{reached} {}
+    tracking_iterator(const char* position, const char** read_position)
+        : position_{position}, read_position_{read_position} {}
 
     reference operator*() const { return *position_; }
     tracking_iterator& operator++() {
-        *reached_ = ++position_;
+        *read_position_ = ++position_;
         return *this;
     }
     tracking_iterator operator++(int) {
@@ -39,11 +39,11 @@
 
 private:
     const char* position_;
-    const char** reached_;
+    const char** read_position_;
 };
 
-// A JSON pointer's token (RFC 6901).
-std::string escaped(std::string_view key) {
+// Escapes a key as a JSON pointer token (RFC 6901).
+std::string escape_key(std::string_view key) {
     std::string result;
     for (const char each : key) {
         if (each == '~' || each == '/') {
@@ -55,7 +55,7 @@
     return result;
 }
 
-// "[json.exception...] parse error at line 1, column 2: REASON": the reason alone.
+// Extracts REASON from "[json.exception...] parse error at line 1, column 2: REASON".
 std::string reason_of(std::string_view message) {
     const auto column = message.find("column ");
     const auto colon = message.find(": ", column == std::string_view::npos ? 0 : column);
@@ -65,12 +65,12 @@
 
 }  // namespace
 
-class shape_reader final : public nlohmann::json_sax<json> {
+class source_map_builder final : public nlohmann::json_sax<json> {
 public:
-    shape_reader(json_shape& shape, std::string_view text)
-        : shape_{shape}, reached_{text.data()}, counted_{text.data()} {}
+    source_map_builder(json_source_map& source_map, std::string_view text)
+        : source_map_{source_map}, read_position_{text.data()}, counted_end_{text.data()} {}
 
-    const char** reached() { return &reached_; }
+    const char** read_position() { return &read_position_; }
 
     bool null() override { return begin_value(); }
     bool boolean(bool /*value*/) override { return begin_value(); }
@@ -89,20 +89,20 @@
     bool key(string_t& value) override {
         auto& top = levels_.back();
         path_.resize(top.path_length);
-        path_ += "/" + escaped(value);
+        path_ += "/" + escape_key(value);
         const int line = current_line();
         if (!top.keys.insert(value).second) {
-            shape_.faults_.push_back(
-                {line, path_,
-                 "the key is given twice; first on line " + std::to_string(shape_.lines_[path_])});
+            source_map_.faults_.push_back({line, path_,
+                                           "the key is given twice; first on line " +
+                                               std::to_string(source_map_.lines_[path_])});
         }
-        shape_.lines_.emplace(path_, line);
+        source_map_.lines_.emplace(path_, line);
         return true;
     }
 
     bool parse_error(std::size_t /*position*/, const std::string& /*token*/,
                      const nlohmann::detail::exception& error) override {
-        shape_.faults_.push_back({current_line(), path_, reason_of(error.what())});
+        source_map_.faults_.push_back({current_line(), path_, reason_of(error.what())});
         return false;
     }
 
@@ -114,11 +114,11 @@
         std::set<std::string> keys = {};
     };
 
-    // The parser has read the value's last character, or the one behind a number.
+    // The parser has consumed the last character of the value, or one more after a number.
     int current_line() {
-        const auto* end = std::max(counted_, reached_ - 1);
-        line_ += static_cast<int>(std::count(counted_, end, '\n'));
-        counted_ = end;
+        const auto* end = std::max(counted_end_, read_position_ - 1);
+        line_ += static_cast<int>(std::count(counted_end_, end, '\n'));
+        counted_end_ = end;
         return line_;
     }
 
@@ -128,14 +128,14 @@
             path_.resize(top.path_length);
             path_ += "/" + std::to_string(top.next_index++);
         }
-        shape_.lines_.emplace(path_, current_line());
+        source_map_.lines_.emplace(path_, current_line());
         return true;
     }
 
     bool push(bool is_object) {
         begin_value();
         if (levels_.size() == max_depth) {
-            shape_.faults_.push_back({current_line(), path_, "nested too deeply"});
+            source_map_.faults_.push_back({current_line(), path_, "nested too deeply"});
             return false;
         }
         levels_.push_back({.is_object = is_object, .path_length = path_.size()});
@@ -148,22 +148,22 @@
         return true;
     }
 
-    json_shape& shape_;
+    json_source_map& source_map_;
     std::vector<level> levels_;
     std::string path_;
-    const char* reached_;
-    const char* counted_;  // lines up to here are in line_
+    const char* read_position_;
+    const char* counted_end_;  // newlines before this position are counted in line_
     int line_ = 1;
 };
 
-json_shape::json_shape(std::string_view text) {
-    shape_reader reader{*this, text};
-    const tracking_iterator begin{text.data(), reader.reached()};
-    const tracking_iterator end{text.data() + text.size(), reader.reached()};
-    is_whole_ = json::sax_parse(begin, end, &reader, json::input_format_t::json, true, true);
+json_source_map::json_source_map(std::string_view text) {
+    source_map_builder reader{*this, text};
+    const tracking_iterator begin{text.data(), reader.read_position()};
+    const tracking_iterator end{text.data() + text.size(), reader.read_position()};
+    is_parsable_ = json::sax_parse(begin, end, &reader, json::input_format_t::json, true, true);
 }
 
-int json_shape::line_of(std::string_view path) const {
+int json_source_map::line_of(std::string_view path) const {
     while (true) {
         const auto found = lines_.find(std::string{path});
         if (found != lines_.end()) {
--- a/libraries/configuration/name_index.h
+++ b/libraries/configuration/name_index.h
@@ -1,6 +1,6 @@
-// Positions of items by name or address in constant time: an open-addressing hash table that keeps
-// no text of its own. It holds positions rather than pointers or views, so that a copy or a move of
-// the items and the index together stays right.
+// Finds items by name or address in constant time: an open-addressing hash table of positions. It
+// stores neither text nor pointers, so it stays valid when it is copied or moved together with the
+// items.
 #pragma once
 
 #include <bit>
@@ -16,10 +16,10 @@
 
 class name_index {
 public:
-    // Indexes `items` by `projection`. The first of two items with one name wins.
+    // Indexes `items` by `projection`. Among items with the same name the first one wins.
     template <typename Item, typename Projection>
     void build(const std::vector<Item>& items, Projection projection) {
-        constexpr std::size_t slots_per_item = 2;  // at most half full: probes stay short
+        constexpr std::size_t slots_per_item = 2;  // load factor below 1/2: short probe sequences
         slots_.assign(std::bit_ceil(items.size() * slots_per_item + 1), empty);
         for (std::size_t i = 0; i < items.size(); ++i) {
             const std::string_view name = std::invoke(projection, items[i]);
@@ -33,7 +33,7 @@
         }
     }
 
-    // The item with this name, or null. `items` must be what build() was given, or a copy of it.
+    // The item with this name, or null. `items` must be the list given to build() or a copy of it.
     template <typename Item, typename Projection>
     const Item* find(const std::vector<Item>& items, std::string_view name,
                      Projection projection) const {
--- a/libraries/configuration/parse.cpp
+++ b/libraries/configuration/parse.cpp
@@ -6,7 +6,7 @@
 #include <set>
 
 #include "base/hash.h"
-#include "configuration/json_shape.h"
+#include "configuration/json_source_map.h"
 #include "configuration/patch.h"
 
 namespace bramleytrack::configuration {
@@ -16,7 +16,7 @@
 
 constexpr int max_limit = 1'000'000;
 constexpr double max_weight = 1'000.0;
-// Names stand in logs, metrics and commands.
+// Names appear in logs, metrics and commands.
 constexpr std::size_t max_name_length = 64;
 constexpr std::string_view name_characters =
     "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.";
@@ -29,8 +29,8 @@
     "weight", "state"};
 constexpr std::array<std::string_view, 2> instance_keys{"name", "state"};
 
-// What was found, short enough for a message.
-std::string found(const json& item, const std::string& key) {
+// The value found, shortened for a message.
+std::string found_value(const json& item, const std::string& key) {
     if (!item.contains(key)) {
         return ", found nothing";
     }
@@ -42,10 +42,10 @@
     return ", found " + shown;
 }
 
-// Walks the document once and collects faults, so that an operator sees all of them at a time.
-class reader {
+// Collects all errors of the document in one pass, so that an operator can correct them together.
+class document_reader {
 public:
-    explicit reader(configuration& result) : result_{result} {}
+    explicit document_reader(configuration& result) : result_{result} {}
 
     std::vector<fault> read(const json& root) {
         if (!root.is_object()) {
@@ -53,17 +53,19 @@
             return std::move(faults_);
         }
         allow_only(root, "", root_keys);
-        each(root, "zones",
-             [this](const json& item, const std::string& path) { zone_at(item, path); });
-        each(root, "services",
-             [this](const json& item, const std::string& path) { service_at(item, path); });
-        each(root, "targets",
-             [this](const json& item, const std::string& path) { target_at(item, path); });
+        for_each_item(root, "zones",
+                      [this](const json& item, const std::string& path) { zone_at(item, path); });
+        for_each_item(root, "services", [this](const json& item, const std::string& path) {
+            service_at(item, path);
+        });
+        for_each_item(root, "targets",
+                      [this](const json& item, const std::string& path) { target_at(item, path); });
         if (root.contains("instances")) {
-            each(root, "instances",
-                 [this](const json& item, const std::string& path) { instance_at(item, path); });
+            for_each_item(root, "instances", [this](const json& item, const std::string& path) {
+                instance_at(item, path);
+            });
         }
-        result_.finish();
+        result_.build_indexes();
         check_references();
         return std::move(faults_);
     }
@@ -71,19 +73,19 @@
 private:
     configuration& result_;
     std::vector<fault> faults_;
-    std::set<std::string> names_;      // "kind/name" of everything read so far
+    std::set<std::string> names_;      // "kind/name" of all items read so far
     std::set<std::string> addresses_;  // of services and targets
-    std::set<std::string> used_;       // "kind/name" of zones and services that have targets
+    std::set<std::string> used_;       // "kind/name" of zones and services that have a target
 
     void report(const std::string& path, std::string message) {
         faults_.push_back({.line = 0, .path = path, .message = std::move(message)});
     }
 
     template <typename Visitor>
-    void each(const json& root, const std::string& key, Visitor visit) {
+    void for_each_item(const json& root, const std::string& key, Visitor visit) {
         const auto path = "/" + key;
         if (!root.contains(key) || !root[key].is_array()) {
-            report(path, "expected a list" + found(root, key));
+            report(path, "expected a list" + found_value(root, key));
             return;
         }
         std::size_t index = 0;
@@ -101,14 +103,14 @@
                     std::span<const std::string_view> keys) {
         for (const auto& [key, value] : item.items()) {
             if (std::ranges::find(keys, key) == keys.end()) {
-                report(path + "/" + key, unknown_key(key, keys));
+                report(path + "/" + key, unknown_key_message(key, keys));
             }
         }
     }
 
     std::string text_at(const json& item, const std::string& path, const std::string& key) {
         if (!item.contains(key) || !item[key].is_string() || item[key].get<std::string>().empty()) {
-            report(path + "/" + key, "expected a text that is not empty" + found(item, key));
+            report(path + "/" + key, "expected a text that is not empty" + found_value(item, key));
             return {};
         }
         return item[key].get<std::string>();
@@ -118,12 +120,12 @@
         if (!item.contains(key)) {
             return fallback;
         }
-        // As a double: a number over 64 bits must not wrap into the range.
-        const bool is_whole = item[key].is_number_integer();
-        const double value = is_whole ? item[key].get<double>() : 0;
+        // Compared as a double: a number of more than 64 bits must not wrap into the range.
+        const bool is_integer = item[key].is_number_integer();
+        const double value = is_integer ? item[key].get<double>() : 0;
         if (value < 1 || value > max_limit) {
             report(path + "/" + key, "expected a whole number from 1 to " +
-                                         std::to_string(max_limit) + found(item, key));
+                                         std::to_string(max_limit) + found_value(item, key));
             return fallback;
         }
         return item[key].get<int>();
@@ -137,7 +139,7 @@
         }
         if (item["state"] != second) {
             report(path + "/state", "expected \"" + std::string{first} + "\" or \"" +
-                                        std::string{second} + "\"" + found(item, "state"));
+                                        std::string{second} + "\"" + found_value(item, "state"));
         }
         return second_state;
     }
@@ -147,7 +149,7 @@
         if (name.size() > max_name_length ||
             name.find_first_not_of(name_characters) != std::string::npos) {
             report(path + "/name", "expected at most " + std::to_string(max_name_length) +
-                                       " letters, digits or \"-_.\"" + found(item, "name"));
+                                       " letters, digits or \"-_.\"" + found_value(item, "name"));
         }
         if (!name.empty() && !names_.insert(kind + "/" + name).second) {
             report(path + "/name", "the name \"" + name + "\" is taken by another " + kind);
@@ -158,8 +160,8 @@
     std::string address_at(const json& item, const std::string& path) {
         auto address = text_at(item, path, "address");
         if (!address.empty() && !is_numeric_address(address)) {
-            report(path + "/address",
-                   "expected a numeric ip:port such as 10.0.0.1:443" + found(item, "address"));
+            report(path + "/address", "expected a numeric ip:port such as 10.0.0.1:443" +
+                                          found_value(item, "address"));
         } else if (!address.empty() && !addresses_.insert(address).second) {
             report(path + "/address", "the address \"" + address + "\" is taken");
         }
@@ -180,14 +182,14 @@
         read.name = name_at(item, path, "service");
         read.address = address_at(item, path);
         const auto dependencies = item.value("depends_on", json::array());
-        const bool are_names =
+        const bool is_list_of_names =
             dependencies.is_array() &&
             std::ranges::all_of(dependencies, [](const json& each) { return each.is_string(); });
-        if (are_names) {
+        if (is_list_of_names) {
             read.depends_on = dependencies.get<std::vector<std::string>>();
         } else {
             report(path + "/depends_on",
-                   "expected a list of names of services" + found(item, "depends_on"));
+                   "expected a list of names of services" + found_value(item, "depends_on"));
         }
         result_.services.push_back(std::move(read));
     }
@@ -208,7 +210,7 @@
                 read.weight = weight;
             } else {
                 report(path + "/weight",
-                       "expected a number above 0, at most 1000" + found(item, "weight"));
+                       "expected a number above 0, at most 1000" + found_value(item, "weight"));
             }
         }
         read.state = state_at(item, path, "active", "draining", target_state::active,
@@ -262,67 +264,67 @@
         }
     }
 
-    // Names each cycle once. Services whose dependencies are all settled are settled in turn; what
-    // is left leads into a cycle wherever one follows it. No recursion: a text holds chains of
-    // thousands.
+    // Reports each cycle once. Kahn's algorithm removes the services whose dependencies are all
+    // resolved; from every remaining service, unresolved dependencies lead into a cycle. Iterative,
+    // since dependency chains may be thousands of services long.
     void check_cycles() {
         const auto& services = result_.services;
         std::vector<std::vector<std::size_t>> dependents(services.size());
-        std::vector<std::size_t> open(services.size(), 0);
+        std::vector<std::size_t> unresolved(services.size(), 0);
         for (std::size_t i = 0; i < services.size(); ++i) {
             for (const auto& each : services[i].depends_on) {
                 if (const auto* found_service = result_.find_service(each)) {
                     dependents[position_of(*found_service)].push_back(i);
-                    ++open[i];
+                    ++unresolved[i];
                 }
             }
         }
-        std::vector<std::size_t> settled;
+        std::vector<std::size_t> resolved;
         for (std::size_t i = 0; i < services.size(); ++i) {
-            if (open[i] == 0) {
-                settled.push_back(i);
+            if (unresolved[i] == 0) {
+                resolved.push_back(i);
             }
         }
-        for (std::size_t next = 0; next < settled.size(); ++next) {
-            for (const auto each : dependents[settled[next]]) {
-                if (--open[each] == 0) {
-                    settled.push_back(each);
+        for (std::size_t next = 0; next < resolved.size(); ++next) {
+            for (const auto each : dependents[resolved[next]]) {
+                if (--unresolved[each] == 0) {
+                    resolved.push_back(each);
                 }
             }
         }
-        std::vector<std::size_t> walk_of(services.size(), 0);  // 0: in no walk yet
+        std::vector<std::size_t> walk_of(services.size(), 0);  // 0: not visited
         for (std::size_t i = 0; i < services.size(); ++i) {
-            if (open[i] > 0 && walk_of[i] == 0) {
-                follow_cycle(i, open, walk_of);
+            if (unresolved[i] > 0 && walk_of[i] == 0) {
+                report_cycle(i, unresolved, walk_of);
             }
         }
     }
 
-    void follow_cycle(std::size_t from, const std::vector<std::size_t>& open,
+    void report_cycle(std::size_t from, const std::vector<std::size_t>& unresolved,
                       std::vector<std::size_t>& walk_of) {
         const auto walk = from + 1;
         std::vector<std::size_t> path;
-        auto here = from;
-        while (walk_of[here] == 0) {
-            walk_of[here] = walk;
-            path.push_back(here);
-            for (const auto& each : result_.services[here].depends_on) {
+        auto current = from;
+        while (walk_of[current] == 0) {
+            walk_of[current] = walk;
+            path.push_back(current);
+            for (const auto& each : result_.services[current].depends_on) {
                 const auto* next = result_.find_service(each);
-                if (next != nullptr && open[position_of(*next)] > 0) {
-                    here = position_of(*next);
+                if (next != nullptr && unresolved[position_of(*next)] > 0) {
+                    current = position_of(*next);
                     break;
                 }
             }
         }
-        if (walk_of[here] != walk) {
-            return;  // leads into a cycle that was named before
+        if (walk_of[current] != walk) {
+            return;  // leads into a cycle that was reported before
         }
         std::string names;
-        for (auto each = std::ranges::find(path, here); each != path.end(); ++each) {
+        for (auto each = std::ranges::find(path, current); each != path.end(); ++each) {
             names += result_.services[*each].name + " -> ";
         }
-        report("/services/" + std::to_string(here) + "/depends_on",
-               "services depend on each other: " + names + result_.services[here].name);
+        report("/services/" + std::to_string(current) + "/depends_on",
+               "services depend on each other: " + names + result_.services[current].name);
     }
 
     std::size_t position_of(const service& each) const {
@@ -340,17 +342,17 @@
                                               " bytes; the store holds at most " +
                                               std::to_string(max_text_size)}};
     }
-    const json_shape shape{text};
-    auto faults = shape.faults();
-    if (!shape.is_whole()) {
+    const json_source_map source_map{text};
+    auto faults = source_map.faults();
+    if (!source_map.is_parsable()) {
         return faults;
     }
     configuration result;
     result.version = version;
     result.digest = hash_of(text);
     result.text = text;
-    for (auto& each : reader{result}.read(json::parse(text, nullptr, false, true))) {
-        each.line = shape.line_of(each.path);
+    for (auto& each : document_reader{result}.read(json::parse(text, nullptr, false, true))) {
+        each.line = source_map.line_of(each.path);
         faults.push_back(std::move(each));
     }
     if (!faults.empty()) {
--- a/libraries/configuration/parse.h
+++ b/libraries/configuration/parse.h
@@ -1,4 +1,4 @@
-// Turns the operators' text into a configuration, or names every fault in it.
+// Parses and validates the operators' configuration text; reports every error in it.
 #pragma once
 
 #include <cstdint>
@@ -12,12 +12,12 @@
 
 namespace bramleytrack::configuration {
 
-// Where the text stands in the platform's store.
+// Key of the configuration text in the platform's store.
 constexpr std::string_view store_key = "bramleytrack/configuration";
 
 using parse_result = std::variant<configuration, std::vector<fault>>;
 
-// A text is accepted whole or not at all. `version` is that of the store's key.
+// A text with any error is rejected as a whole. `version` is the version of the store's key.
 parse_result parse_configuration(std::string_view text, std::int64_t version);
 
 }  // namespace bramleytrack::configuration
--- a/libraries/settings/settings_text.cpp
+++ b/libraries/settings/settings_text.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-#include "configuration/json_shape.h"
+#include "configuration/json_source_map.h"
 
 namespace bramleytrack::settings {
 namespace {
@@ -38,9 +38,9 @@
     if (text.size() > max_settings_size) {
         return {{.line = 0, .path = "", .message = "settings are at most 65536 bytes"}};
     }
-    const configuration::json_shape shape{text};
-    auto faults = shape.faults();
-    if (!shape.is_whole()) {
+    const configuration::json_source_map source_map{text};
+    auto faults = source_map.faults();
+    if (!source_map.is_parsable()) {
         return faults;
     }
     const auto root = json::parse(text, nullptr, false, true);
@@ -48,7 +48,7 @@
         return {{.line = 1, .path = "", .message = "expected a JSON object"}};
     }
     for (auto& each : read_keys(root)) {
-        each.line = shape.line_of(each.path);
+        each.line = source_map.line_of(each.path);
         faults.push_back(std::move(each));
     }
     std::ranges::stable_sort(faults, {}, &fault::line);
@@ -61,7 +61,7 @@
         if (std::ranges::find(known, name) == known.end()) {
             faults.push_back({.line = 0,
                               .path = "/" + name,
-                              .message = configuration::unknown_key(name, known)});
+                              .message = configuration::unknown_key_message(name, known)});
         }
     }
     return faults;
--- a/services/bramleybench/cold_experiment.cpp
+++ b/services/bramleybench/cold_experiment.cpp
@@ -52,7 +52,7 @@
             added.cold_connections = choice.has_ramp ? 200 : added.connections;
             configuration_.targets.push_back(added);
         }
-        configuration_.finish();
+        configuration_.build_indexes();
     }
 
     std::vector<figure> run() {
--- a/services/bramleybench/placement_experiment.cpp
+++ b/services/bramleybench/placement_experiment.cpp
@@ -35,7 +35,7 @@
             added.weight = pattern.has_heavy_tail ? heavy_weight() : 1;
             configuration_.targets.push_back(added);
         }
-        configuration_.finish();
+        configuration_.build_indexes();
         open_.resize(count);
         by_member_.assign(members, std::vector<int>(count));
         const auto homes = static_cast<std::size_t>(pattern.homes);
--- a/tests/candidates_test.cpp
+++ b/tests/candidates_test.cpp
@@ -24,7 +24,7 @@
         added.service = "board";
         result.targets.push_back(added);
     }
-    result.finish();
+    result.build_indexes();
     return result;
 }
 
@@ -34,7 +34,7 @@
     auto before = ten_targets();
     auto after = before;
     after.targets[3].state = configuration::target_state::draining;
-    after.finish();
+    after.build_indexes();
     for (routing::flow_key key = 0; key < 1000; ++key) {
         EXPECT_EQ(routing::candidates_of(before, "board", key).front()->name,
                   routing::candidates_of(after, "board", key).front()->name);
@@ -45,7 +45,7 @@
     const auto before = ten_targets();
     auto after = before;
     after.targets.erase(after.targets.begin() + 3);
-    after.finish();
+    after.build_indexes();
     for (routing::flow_key key = 0; key < 1000; ++key) {
         const auto* first = routing::candidates_of(before, "board", key).front();
         if (first->name != "board-3") {
@@ -57,7 +57,7 @@
 TEST(candidates, a_zone_that_is_out_has_none) {
     auto configuration = ten_targets();
     configuration.zones[0].state = configuration::zone_state::out;
-    configuration.finish();
+    configuration.build_indexes();
     for (routing::flow_key key = 0; key < 100; ++key) {
         for (const auto* each : routing::candidates_of(configuration, "board", key)) {
             EXPECT_EQ(each->zone, "south");
@@ -101,7 +101,7 @@
         added.weight = 1.0 + picks[i] % 5;
         configuration.targets.push_back(std::move(added));
     }
-    configuration.finish();
+    configuration.build_indexes();
     const auto moved = std::move(configuration);
     for (routing::flow_key key = 0; key < 20; ++key) {
         std::vector<std::string> names;
--- a/tests/configuration_checks_test.cpp
+++ b/tests/configuration_checks_test.cpp
@@ -1,4 +1,4 @@
-// Configuration: what the checks of the operators' text say, and that no text breaks them.
+// Validation of the configuration text: error messages, and robustness against malformed texts.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -25,9 +25,9 @@
     return lines;
 }
 
-TEST(configuration_checks, every_fault_is_named_in_one_pass) {
-    // An operator mends one fault at a time and applies again, since only the first was named, and
-    // without its line.
+TEST(configuration_checks, all_errors_are_reported_in_one_pass) {
+    // If only the first error were reported, or errors without their line, an operator would have
+    // to correct and apply the text once for each error.
     const auto* text = R"({
   // comments are allowed
   "zones": [{"name": "north"}, {"name": "empty"}, {"name": "north"}],
@@ -66,7 +66,7 @@
         }));
 }
 
-TEST(configuration_checks, texts_that_no_one_can_read) {
+TEST(configuration_checks, malformed_texts_are_rejected) {
     EXPECT_EQ(faults_of(std::string(configuration::max_text_size + 1, ' ')).size(), 1);
     EXPECT_EQ(faults_of(std::string(100'000, '[')),
               (std::vector<std::string>{"line 1 /0/0/0/0/0/0/0/0: nested too deeply"}));
@@ -79,11 +79,11 @@
                   "line 1 /: expected an object with zones, services and targets"}));
 }
 
-TEST(configuration_checks, a_long_chain_is_no_cycle) {
+TEST(configuration_checks, a_long_dependency_chain_is_not_a_cycle) {
     std::string services;
     std::string targets;
-    constexpr int length = 3'000;
-    for (int i = 0; i < length; ++i) {
+    constexpr int chain_length = 3'000;
+    for (int i = 0; i < chain_length; ++i) {
         const auto number = std::to_string(i);
         services += (i == 0 ? "" : ",") + std::string{R"({"name":"s)"} + number +
                     R"(","address":"10.0.0.1:)" + std::to_string(i + 1) + "\"" +
@@ -97,7 +97,7 @@
               std::vector<std::string>{});
 }
 
-RC_GTEST_PROP(configuration_checks, survive_any_mutation_of_a_valid_text,
+RC_GTEST_PROP(configuration_checks, mutated_texts_are_accepted_or_rejected_with_lines,
               (const std::vector<std::pair<std::uint16_t, char>>& mutations, std::uint16_t cut)) {
     auto text = testing::fleet_text({.zones = 2, .services = 2, .targets = 4});
     for (const auto& [position, value] : mutations) {
--- a/tests/support/fleet_text.h
+++ b/tests/support/fleet_text.h
@@ -1,4 +1,4 @@
-// Operators' texts of any size, for tests and benchmarks.
+// Generates configuration texts of a given size for tests and benchmarks.
 #pragma once
 
 #include <string>
@@ -8,12 +8,12 @@
 struct fleet_size {
     int zones = 1;
     int services = 1;
-    int targets = 14;  // spread over services and zones in turn
+    int targets = 14;  // assigned to services and zones round-robin
 };
 
 std::string fleet_text(const fleet_size& size);
 
-// Address of the service with this index in fleet_text.
+// Address of the service with this index in the text from fleet_text.
 std::string service_address(int index);
 
 }  // namespace bramleytrack::testing
