--- a/libraries/configuration/configuration.cpp
+++ b/libraries/configuration/configuration.cpp
@@ -60,7 +60,7 @@
     return std::span{scored_targets_}.subspan(begin, end - begin);
 }
 
-void configuration::keep_removed(const configuration& before) {
+void configuration::retain_removed_targets(const configuration& before) {
     constexpr std::size_t max_removed = 256;
     std::vector<target> retained;
     for (const auto& each : before.targets) {
--- a/libraries/configuration/configuration.h
+++ b/libraries/configuration/configuration.h
@@ -84,7 +84,7 @@
     // max_removed of them. If an operator removes a target that still has open flows, their packets
     // can still be routed to its address. A target is not kept if its name or address is in use
     // again or its service or zone is gone: its packets must not reach an unrelated target.
-    void keep_removed(const configuration& before);
+    void retain_removed_targets(const configuration& before);
 
     // Builds the indexes below. parse_configuration calls it; code that modifies the lists
     // directly, such as tests, must call it afterwards.
--- a/libraries/configuration/history.cpp
+++ b/libraries/configuration/history.cpp
@@ -4,13 +4,13 @@
 
 namespace bramleytrack::configuration {
 
-void history::remember(configuration replaced) {
+void history::add(configuration replaced) {
     if (replaced.version == 0) {
         return;
     }
     replaced.text.clear();
     all_.push_front({.content = std::move(replaced), .replaced = std::nullopt});
-    if (all_.size() > max_remembered) {
+    if (all_.size() > max_versions) {
         all_.pop_back();
     }
 }
--- a/libraries/configuration/history.h
+++ b/libraries/configuration/history.h
@@ -1,5 +1,5 @@
-// The configurations that were in force before the current one: flows opened under them, or by
-// peers that still have them, are looked for along their candidates too.
+// Configurations that were active before the current one. Flows that were opened under them, or by
+// peers that still use them, are also looked up at the candidates that those configurations give.
 #pragma once
 
 #include <deque>
@@ -12,17 +12,17 @@
 
 struct replaced_configuration {
     configuration content;
-    std::optional<clock::time_point> replaced;  // set by the first tick afterwards
+    std::optional<clock::time_point> replaced;  // set by the first tick after it was replaced
 };
 
 class history {
 public:
-    // Changes come every 25 s on average and are in force everywhere within 4 s, so that peers are
-    // hardly ever more than two versions apart.
-    static constexpr std::size_t max_remembered = 3;
+    // A change is made every 25 s on average and is active on all instances within 4 s, so peers
+    // are rarely more than two versions apart.
+    static constexpr std::size_t max_versions = 3;
 
-    // The first, empty configuration of an instance isn't worth remembering.
-    void remember(configuration replaced);
+    // Ignores the empty configuration (version 0) that an instance starts with.
+    void add(configuration replaced);
     void on_tick(clock::time_point now);
 
     // Newest first.
--- a/libraries/configuration/incoming_transfer.cpp
+++ b/libraries/configuration/incoming_transfer.cpp
@@ -12,8 +12,8 @@
 }  // namespace
 
 bool incoming_transfer::add(const wire::configuration_part& part, clock::time_point now) {
-    // Failure: a forged or damaged part names a huge size or writes outside of the buffer. Sizes
-    // and offsets are compared before anything is allocated or copied.
+    // A forged or corrupted part could claim a huge size or an offset outside the buffer. Sizes and
+    // offsets are validated before anything is allocated or copied.
     const auto max_size = static_cast<std::int32_t>(wire::max_transfer_size);
     if (part.size <= 0 || part.size > max_size || part.offset < 0 || part.offset >= part.size ||
         part.offset % part_size != 0) {
@@ -24,7 +24,8 @@
         return false;
     }
     if (transfer_ != part.transfer || size_ != part.size) {
-        // The sender has come to a newer version meanwhile: its parts don't fit the older ones.
+        // The sender now transfers a newer version, whose parts can't be combined with the old
+        // ones.
         if (transfer_ != 0 && part.version <= version_) {
             return false;
         }
@@ -48,7 +49,7 @@
     bytes_.assign(static_cast<std::size_t>(size_), '\0');
     missing_ = static_cast<std::size_t>((size_ + part_size - 1) / part_size);
     has_part_.assign(missing_, false);
-    requested_ = request_bytes;
+    requested_end_ = request_bytes;
 }
 
 std::int32_t incoming_transfer::first_missing() const {
@@ -57,11 +58,11 @@
 }
 
 std::optional<std::int32_t> incoming_transfer::next_request() {
-    if (is_whole() || first_missing() < requested_) {
+    if (is_complete() || first_missing() < requested_end_) {
         return std::nullopt;
     }
-    const auto offset = requested_;
-    requested_ += request_bytes;
+    const auto offset = requested_end_;
+    requested_end_ += request_bytes;
     return offset;
 }
 
--- a/libraries/configuration/incoming_transfer.h
+++ b/libraries/configuration/incoming_transfer.h
@@ -1,4 +1,4 @@
-// Puts a transfer together from parts that may come late, twice or not at all.
+// Reassembles a configuration transfer from parts that may be lost, delayed or duplicated.
 #pragma once
 
 #include <optional>
@@ -10,9 +10,10 @@
 
 namespace bramleytrack::configuration {
 
-// With the rest of a message it stays below the 1,232 bytes that every path carries unfragmented.
+// A message with a part of this size stays below 1,232 bytes, which every path carries
+// unfragmented.
 constexpr std::int32_t part_size = 1'000;
-// Parts that are asked for at once: 16 KB a round trip, paced by the receiver.
+// Number of parts per request: 16 KB per round trip, paced by the receiver.
 constexpr std::int32_t parts_per_request = 16;
 
 class incoming_transfer {
@@ -26,16 +27,19 @@
     std::uint64_t digest() const { return digest_; }
     std::int64_t transfer() const { return transfer_; }
     clock::time_point last_progress() const { return last_progress_; }
-    void note_attempt(clock::time_point now) { last_progress_ = now; }
+    // Restarts the time-out after a repeated request.
+    void restart_timeout(clock::time_point now) { last_progress_ = now; }
 
-    // Returns false for a part that doesn't fit what is here.
+    // Returns false for an invalid part or one of an outdated transfer. A newer transfer replaces
+    // this one.
     bool add(const wire::configuration_part& part, clock::time_point now);
 
-    bool is_whole() const { return size_ > 0 && missing_ == 0; }
+    bool is_complete() const { return size_ > 0 && missing_ == 0; }
     const std::string& bytes() const { return bytes_; }
-    // Where to ask on, once the parts that were asked for are here; nothing while they may come.
+    // Offset of the next request once all requested parts have arrived; nothing while some are
+    // outstanding.
     std::optional<std::int32_t> next_request();
-    // The first byte that isn't here: where to ask again after a loss.
+    // Offset of the first missing part, from which to repeat the request after a loss.
     std::int32_t first_missing() const;
 
 private:
@@ -44,12 +48,12 @@
     std::string peer_;
     std::int64_t version_;
     std::uint64_t digest_;
-    std::int64_t transfer_ = 0;  // 0 until the first part tells it
+    std::int64_t transfer_ = 0;  // hash of the encoded transfer; 0 until the first part arrives
     std::int32_t size_ = 0;
     std::string bytes_;
     std::vector<bool> has_part_;
-    std::size_t missing_ = 0;     // parts
-    std::int32_t requested_ = 0;  // bytes up to here were asked for
+    std::size_t missing_ = 0;         // number of parts
+    std::int32_t requested_end_ = 0;  // end offset of the bytes requested so far
     clock::time_point last_progress_;
 };
 
--- a/libraries/configuration/patch.cpp
+++ b/libraries/configuration/patch.cpp
@@ -8,7 +8,8 @@
 namespace bramleytrack::configuration {
 namespace {
 
-// Wide enough that the end of a text still sees the beginning of the old one.
+// The window covers two texts, so that the end of a text can reference the beginning of the old
+// one.
 constexpr int window_log = std::bit_width(2 * max_text_size);
 constexpr int compression_level = 6;
 
@@ -33,8 +34,8 @@
 }
 
 std::optional<std::string> apply_patch(std::string_view base, std::string_view patch) {
-    // Failure: a forged frame claims a huge content and its receiver runs out of memory. The claim
-    // is compared before anything is allocated, and the decoder never writes past it.
+    // A forged frame could claim a huge content size and exhaust memory. The size is checked before
+    // the buffer is allocated, and the decoder never writes past it.
     const auto size = ZSTD_getFrameContentSize(patch.data(), patch.size());
     if (size == ZSTD_CONTENTSIZE_UNKNOWN || size == ZSTD_CONTENTSIZE_ERROR ||
         size > max_text_size) {
--- a/libraries/configuration/step_history.cpp
+++ b/libraries/configuration/patch_history.cpp
@@ -1,4 +1,4 @@
-#include "configuration/step_history.h"
+#include "configuration/patch_history.h"
 
 #include <algorithm>
 
@@ -7,16 +7,17 @@
 namespace bramleytrack::configuration {
 namespace {
 
-// 200 changes are 80 minutes at 3,400 a day. A change is a hundred bytes or a few, a text
-// compressed is 40 KB: a longer chain would cost more than the whole.
+// 200 changes cover 80 minutes at 3,400 changes per day. A patch takes about 100 bytes or a few
+// hundred, a compressed text 40 KB: a longer chain would be larger than a full transfer.
 constexpr std::size_t max_entries = 200;
 constexpr std::size_t max_patch_bytes = 32'768;
-// Peers are at few different versions; more of them are encoded again on demand.
+// Number of cached encoded transfers. Peers are at few different versions; the cache is cleared
+// when it is full, and transfers are encoded again on demand.
 constexpr std::size_t max_transfers = 8;
 
 }  // namespace
 
-void step_history::add(std::uint64_t base, wire::configuration_step step) {
+void patch_history::add(std::uint64_t base, wire::configuration_step step) {
     transfers_.clear();
     const bool is_chained =
         !entries_.empty() && static_cast<std::uint64_t>(entries_.back().step.digest) == base;
@@ -35,34 +36,34 @@
     }
 }
 
-const std::string& step_history::transfer_from(std::uint64_t known, std::string_view text) {
-    const auto found = transfers_.find(known);
+const std::string& patch_history::transfer_from(std::uint64_t base_digest, std::string_view text) {
+    const auto found = transfers_.find(base_digest);
     if (found != transfers_.end()) {
         return found->second;
     }
     if (transfers_.size() == max_transfers) {
         transfers_.clear();
     }
-    auto encoded = encode_chain(known);
+    auto encoded = encode_patches(base_digest);
     if (encoded.empty()) {
-        encoded = encode_whole(text);
+        encoded = encode_full(text);
     }
-    return transfers_[known] = std::move(encoded);
+    return transfers_[base_digest] = std::move(encoded);
 }
 
-std::string step_history::encode_chain(std::uint64_t known) const {
-    const auto begin = std::ranges::find(entries_, known, &entry::base);
-    if (known == 0 || begin == entries_.end()) {
+std::string patch_history::encode_patches(std::uint64_t base_digest) const {
+    const auto begin = std::ranges::find(entries_, base_digest, &entry::base);
+    if (base_digest == 0 || begin == entries_.end()) {
         return {};
     }
     wire::configuration_transfer transfer;
-    transfer.base_digest = static_cast<std::int64_t>(known);
+    transfer.base_digest = static_cast<std::int64_t>(base_digest);
     std::transform(begin, entries_.end(), std::back_inserter(transfer.steps),
                    [](const entry& each) { return each.step; });
     return wire::encode_transfer(transfer);
 }
 
-std::string step_history::encode_whole(std::string_view text) const {
+std::string patch_history::encode_full(std::string_view text) const {
     wire::configuration_transfer transfer;
     auto& step = transfer.steps.emplace_back();
     step.digest = static_cast<std::int64_t>(hash_of(text));
--- a/libraries/distribution/configuration_sync.cpp
+++ b/libraries/distribution/configuration_sync.cpp
@@ -11,11 +11,11 @@
 namespace bramleytrack::distribution {
 namespace {
 
-constexpr std::size_t max_refused = 16;
-// Parts follow each other within a round trip. A request or a part that was lost is asked for again
-// after repeat_after, and of another peer after give_up_after.
-constexpr clock::duration repeat_after{300};
-constexpr clock::duration give_up_after{1'000};
+constexpr std::size_t max_rejected = 16;
+// Parts follow each other within a round trip. A lost request or part is requested again after
+// request_retry_interval, and from another peer after peer_timeout.
+constexpr clock::duration request_retry_interval{300};
+constexpr clock::duration peer_timeout{1'000};
 
 }  // namespace
 
@@ -23,10 +23,10 @@
     const auto& current = shared_.configuration;
     const auto digest = hash_of(text);
     if (version < current.version) {
-        // Failure: a store that was restarted from an older copy shows an older version, and the
-        // fleet would fall back to it: a zone that is out would get packets again.
-        if (!is_refused(version, digest)) {
-            refuse(version, digest, "store", "older than the version in force");
+        // A store that was restored from an older copy returns an older version. Accepting it would
+        // revert the fleet: a zone that is out would get packets again.
+        if (!is_rejected(version, digest)) {
+            reject(version, digest, "store", "older than the version in use");
         }
         return false;
     }
@@ -34,21 +34,21 @@
         shared_.is_configuration_confirmed = true;
         return false;
     }
-    if (is_refused(version, digest)) {
+    if (is_rejected(version, digest)) {
         return false;
     }
     if (version == current.version) {
         shared_.out.log(log_event{"configuration_replaced"}
                             .with("version", version)
-                            .with("reason", "the store shows another text under this version"));
+                            .with("reason", "the store holds another text under this version"));
     }
-    const bool is_new = put_in_force(text, version, "store");
+    const bool is_new = activate(text, version, "store");
     shared_.is_configuration_confirmed = shared_.is_configuration_confirmed || is_new;
     return is_new;
 }
 
-bool configuration_sync::is_better(std::int64_t version, std::uint64_t digest,
-                                   bool is_confirmed) const {
+bool configuration_sync::supersedes_current(std::int64_t version, std::uint64_t digest,
+                                            bool is_confirmed) const {
     const auto& current = shared_.configuration;
     if (version != current.version) {
         return version > current.version;
@@ -60,57 +60,57 @@
     const auto version = message.beat.configuration_version;
     const auto digest = static_cast<std::uint64_t>(message.beat.configuration_digest);
     if (version == shared_.configuration.version && digest != shared_.configuration.digest) {
-        note_conflict(message.sender, digest);
+        report_conflict(message.sender, digest);
     }
-    if (!is_better(version, digest, message.beat.configuration_confirmed) ||
-        is_refused(version, digest)) {
+    if (!supersedes_current(version, digest, message.beat.configuration_confirmed) ||
+        is_rejected(version, digest)) {
         return;
     }
-    // Failure: every peer that has the newer text sends it at once, eight whole texts for one
-    // change. One transfer runs at a time, from one peer, and another peer is asked only when this
-    // one has fallen silent.
+    // If every peer with the newer text sent it at once, one change would cost eight whole texts.
+    // One transfer runs at a time, from one peer; another peer is used only after this one has made
+    // no progress for peer_timeout.
     if (incoming_) {
-        const auto silence = now - incoming_->last_progress();
-        const bool is_same = incoming_->peer() == message.sender;
-        if (silence < (is_same ? repeat_after : give_up_after)) {
+        const auto idle_time = now - incoming_->last_progress();
+        const bool is_same_peer = incoming_->peer() == message.sender;
+        if (idle_time < (is_same_peer ? request_retry_interval : peer_timeout)) {
             return;
         }
-        if (is_same) {
-            incoming_->note_attempt(now);
-            ask(incoming_->first_missing());
+        if (is_same_peer) {
+            incoming_->restart_timeout(now);
+            request_parts(incoming_->first_missing());
             return;
         }
     }
     incoming_.emplace(message.sender, version, digest, now);
-    ask(0);
+    request_parts(0);
 }
 
-void configuration_sync::ask(std::int32_t offset) {
-    wire::configuration_wanted wanted;
-    wanted.known_version = shared_.configuration.version;
-    wanted.known_digest =
-        is_whole_wanted_ ? 0 : static_cast<std::int64_t>(shared_.configuration.digest);
-    wanted.transfer = incoming_->transfer();
-    wanted.offset = offset;
+void configuration_sync::request_parts(std::int32_t offset) {
+    wire::configuration_wanted request;
+    request.known_version = shared_.configuration.version;
+    request.known_digest =
+        is_full_transfer_needed_ ? 0 : static_cast<std::int64_t>(shared_.configuration.digest);
+    request.transfer = incoming_->transfer();
+    request.offset = offset;
     wire::peer_message message;
-    message.__set_configuration_request(wanted);
+    message.__set_configuration_request(request);
     shared_.out.send_peer(incoming_->peer(), std::move(message));
 }
 
-void configuration_sync::on_wanted(std::string_view sender,
-                                   const wire::configuration_wanted& wanted) {
+void configuration_sync::on_request(std::string_view sender,
+                                    const wire::configuration_wanted& request) {
     const auto& current = shared_.configuration;
-    const auto known = static_cast<std::uint64_t>(wanted.known_digest);
-    if (current.version == 0 || wanted.known_version > current.version ||
-        (wanted.known_version == current.version && known == current.digest)) {
+    const auto base_digest = static_cast<std::uint64_t>(request.known_digest);
+    if (current.version == 0 || request.known_version > current.version ||
+        (request.known_version == current.version && base_digest == current.digest)) {
         return;
     }
-    const auto& bytes = history_.transfer_from(known, current.text);
+    const auto& bytes = patch_history_.transfer_from(base_digest, current.text);
     const auto transfer = static_cast<std::int64_t>(hash_of(bytes));
     const auto size = static_cast<std::int32_t>(bytes.size());
-    // The transfer that was begun is gone when this instance has come to a newer version.
-    const bool is_continued = wanted.transfer == transfer && wanted.offset > 0;
-    auto offset = is_continued ? wanted.offset - wanted.offset % configuration::part_size : 0;
+    // If this instance has activated a newer version since, the transfer starts from the beginning.
+    const bool is_continued = request.transfer == transfer && request.offset > 0;
+    auto offset = is_continued ? request.offset - request.offset % configuration::part_size : 0;
     for (int i = 0; i < configuration::parts_per_request && offset < size;
          ++i, offset += configuration::part_size) {
         wire::configuration_part part;
@@ -131,57 +131,57 @@
     if (!incoming_ || incoming_->peer() != sender || !incoming_->add(part, now)) {
         return;
     }
-    if (incoming_->is_whole()) {
-        complete();
+    if (incoming_->is_complete()) {
+        finish_transfer();
     } else if (const auto offset = incoming_->next_request()) {
-        ask(*offset);
+        request_parts(*offset);
     }
 }
 
-void configuration_sync::complete() {
+void configuration_sync::finish_transfer() {
     const auto received = std::move(*incoming_);
     incoming_.reset();
-    // Failure: the store or another peer was faster than this transfer, and the older text that it
-    // carries would revert the change.
-    if (!is_better(received.version(), received.digest(), true)) {
+    // A newer text from the store or another peer may have become active during the transfer; the
+    // older text must not revert it.
+    if (!supersedes_current(received.version(), received.digest(), true)) {
         return;
     }
     auto decoded = wire::decode_transfer(received.bytes());
     auto* transfer = std::get_if<wire::configuration_transfer>(&decoded);
     if (transfer == nullptr || transfer->steps.empty()) {
-        refuse(received.version(), received.digest(), received.peer(), "malformed transfer");
+        reject(received.version(), received.digest(), received.peer(), "malformed transfer");
         return;
     }
-    const bool is_chain = transfer->base_digest != 0;
-    std::string text = is_chain ? shared_.configuration.text : std::string{};
+    const bool is_incremental = transfer->base_digest != 0;
+    std::string text = is_incremental ? shared_.configuration.text : std::string{};
     for (const auto& step : transfer->steps) {
         auto next = configuration::apply_patch(text, step.patch);
-        // Failure: a patch meets another base than it was made for and gives a text that no
-        // operator wrote. Its digest can't be that of the step.
+        // A patch that is applied to another base than its own gives a text that no operator wrote.
+        // The digest of the step detects it.
         if (!next || hash_of(*next) != static_cast<std::uint64_t>(step.digest)) {
-            if (is_chain) {
-                is_whole_wanted_ = true;  // the next heartbeat leads to a full fetch
+            if (is_incremental) {
+                is_full_transfer_needed_ = true;  // the next heartbeat triggers a full transfer
             } else {
-                refuse(received.version(), received.digest(), received.peer(), "wrong digest");
+                reject(received.version(), received.digest(), received.peer(), "wrong digest");
             }
             return;
         }
         text = std::move(*next);
     }
-    const bool is_announced = hash_of(text) == received.digest();
-    if (!is_announced) {
-        refuse(received.version(), received.digest(), received.peer(), "wrong digest");
+    const bool is_expected_text = hash_of(text) == received.digest();
+    if (!is_expected_text) {
+        reject(received.version(), received.digest(), received.peer(), "wrong digest");
         return;
     }
-    is_whole_wanted_ = false;
-    put_in_force(text, received.version(), received.peer());
+    is_full_transfer_needed_ = false;
+    activate(text, received.version(), received.peer());
 }
 
-bool configuration_sync::put_in_force(std::string_view text, std::int64_t version,
-                                      std::string_view source) {
+bool configuration_sync::activate(std::string_view text, std::int64_t version,
+                                  std::string_view source) {
     auto parsed = configuration::parse_configuration(text, version);
     if (const auto* faults = std::get_if<std::vector<configuration::fault>>(&parsed)) {
-        refuse(version, hash_of(text), source, to_string(faults->front()));
+        reject(version, hash_of(text), source, to_string(faults->front()));
         return false;
     }
     auto& next = std::get<configuration::configuration>(parsed);
@@ -191,38 +191,38 @@
         step.version = version;
         step.digest = static_cast<std::int64_t>(next.digest);
         step.patch = configuration::make_patch(current.text, text);
-        history_.add(current.digest, std::move(step));
+        patch_history_.add(current.digest, std::move(step));
     }
-    next.keep_removed(current);
-    shared_.previous.remember(std::exchange(current, std::move(next)));
+    next.retain_removed_targets(current);
+    shared_.previous.add(std::exchange(current, std::move(next)));
     shared_.is_configuration_confirmed = false;
     shared_.out.log(
         log_event{"configuration_in_force"}.with("version", version).with("source", source));
     return true;
 }
 
-bool configuration_sync::is_refused(std::int64_t version, std::uint64_t digest) const {
-    return std::ranges::find(refused_, refused_text{version, digest}) != refused_.end();
+bool configuration_sync::is_rejected(std::int64_t version, std::uint64_t digest) const {
+    return std::ranges::find(rejected_, rejected_text{version, digest}) != rejected_.end();
 }
 
-void configuration_sync::refuse(std::int64_t version, std::uint64_t digest, std::string_view source,
+void configuration_sync::reject(std::int64_t version, std::uint64_t digest, std::string_view source,
                                 std::string_view fault) {
     shared_.out.log(log_event{"configuration_refused"}
                         .with("version", version)
                         .with("source", source)
                         .with("fault", fault));
-    refused_.push_back({version, digest});
-    if (refused_.size() > max_refused) {
-        refused_.pop_front();
+    rejected_.push_back({version, digest});
+    if (rejected_.size() > max_rejected) {
+        rejected_.pop_front();
     }
 }
 
-void configuration_sync::note_conflict(std::string_view peer, std::uint64_t digest) {
+void configuration_sync::report_conflict(std::string_view peer, std::uint64_t digest) {
     if (digest == conflicting_digest_) {
         return;
     }
     conflicting_digest_ = digest;
-    is_store_wanted_ = true;
+    is_store_reread_needed_ = true;
     shared_.out.log(log_event{"configuration_conflict"}
                         .with("version", shared_.configuration.version)
                         .with("peer", peer));
--- a/libraries/distribution/configuration_sync.h
+++ b/libraries/distribution/configuration_sync.h
@@ -1,11 +1,12 @@
-// Keeps the configuration the same on all instances: from the store, and from peer to peer for
-// those that can't reach the store.
+// Synchronizes the configuration of all instances: from the store, and between peers for instances
+// that can't reach the store.
 //
-// Heartbeats carry version and digest. Who hears of a newer version asks that one peer for it, and
-// gets the changes since its own text as patches, or the whole text when the peer's history doesn't
-// reach back that far. Versions only rise: a version below the one in force is never taken,
-// wherever it comes from. Two texts under one version (a store that was restored from a backup) are
-// never mixed, since a patch leads from one digest to another; the text that the store shows wins.
+// Heartbeats carry version and digest. An instance that receives a newer version requests it from
+// that peer alone, and gets the changes since its own text as patches, or the whole text if the
+// peer's patch history doesn't reach back that far. Versions only increase: a version below the
+// active one is never accepted, whatever its source. Two texts under one version (after the store
+// was restored from a backup) are never mixed, since a patch leads from one digest to another; the
+// text in the store takes precedence.
 #pragma once
 
 #include <deque>
@@ -15,14 +16,14 @@
 #include "configuration/configuration.h"
 #include "configuration/history.h"
 #include "configuration/incoming_transfer.h"
-#include "configuration/step_history.h"
+#include "configuration/patch_history.h"
 #include "outbox/outbox.h"
 
 namespace bramleytrack::distribution {
 
 class configuration_sync {
 public:
-    // What it needs of the instance.
+    // State of the instance that this class uses.
     struct shared_state {
         configuration::configuration& configuration;
         bool& is_configuration_confirmed;
@@ -32,42 +33,43 @@
 
     explicit configuration_sync(const shared_state& shared) : shared_{shared} {}
 
-    // A text that the store shows. Returns true when it came into force.
+    // Handles a text read from the store. Returns true if it became active.
     bool on_store(std::string_view text, std::int64_t version);
 
-    // A peer's heartbeat shows its version; whoever is behind asks.
+    // Requests the peer's configuration if it is newer than the active one.
     void on_heartbeat(const wire::peer_message& message, clock::time_point now);
-    void on_wanted(std::string_view sender, const wire::configuration_wanted& wanted);
+    void on_request(std::string_view sender, const wire::configuration_wanted& request);
     void on_part(std::string_view sender, const wire::configuration_part& part,
                  clock::time_point now);
 
-    // True once after a peer showed another text under this version: the store has to be read anew.
-    bool take_store_wanted() { return std::exchange(is_store_wanted_, false); }
+    // True once after a peer reported another text under the active version: the store must be read
+    // again.
+    bool take_store_reread_needed() { return std::exchange(is_store_reread_needed_, false); }
 
 private:
-    struct refused_text {
+    struct rejected_text {
         std::int64_t version = 0;
         std::uint64_t digest = 0;
 
-        bool operator==(const refused_text&) const = default;
+        bool operator==(const rejected_text&) const = default;
     };
 
-    bool is_better(std::int64_t version, std::uint64_t digest, bool is_confirmed) const;
-    bool is_refused(std::int64_t version, std::uint64_t digest) const;
-    void refuse(std::int64_t version, std::uint64_t digest, std::string_view source,
+    bool supersedes_current(std::int64_t version, std::uint64_t digest, bool is_confirmed) const;
+    bool is_rejected(std::int64_t version, std::uint64_t digest) const;
+    void reject(std::int64_t version, std::uint64_t digest, std::string_view source,
                 std::string_view fault);
-    void note_conflict(std::string_view peer, std::uint64_t digest);
-    void ask(std::int32_t offset);
-    void complete();
-    bool put_in_force(std::string_view text, std::int64_t version, std::string_view source);
+    void report_conflict(std::string_view peer, std::uint64_t digest);
+    void request_parts(std::int32_t offset);
+    void finish_transfer();
+    bool activate(std::string_view text, std::int64_t version, std::string_view source);
 
     shared_state shared_;
-    configuration::step_history history_;
+    configuration::patch_history patch_history_;
     std::optional<configuration::incoming_transfer> incoming_;
-    std::deque<refused_text> refused_;      // texts that failed the checks; not asked for again
-    std::uint64_t conflicting_digest_ = 0;  // of the last conflict that was logged
-    bool is_whole_wanted_ = false;          // a chain of changes didn't lead to its digest
-    bool is_store_wanted_ = false;
+    std::deque<rejected_text> rejected_;    // texts that failed validation; not requested again
+    std::uint64_t conflicting_digest_ = 0;  // of the last conflict logged
+    bool is_full_transfer_needed_ = false;  // applying patches gave a wrong digest
+    bool is_store_reread_needed_ = false;
 };
 
 }  // namespace bramleytrack::distribution
--- a/libraries/instance/instance.cpp
+++ b/libraries/instance/instance.cpp
@@ -194,7 +194,7 @@
         }
     }
     if (message.__isset.configuration_request) {
-        configuration_sync_.on_wanted(message.sender, message.configuration_request);
+        configuration_sync_.on_request(message.sender, message.configuration_request);
     }
     if (message.__isset.configuration) {
         configuration_sync_.on_part(message.sender, message.configuration, now);
--- a/libraries/instance/instance.h
+++ b/libraries/instance/instance.h
@@ -36,7 +36,7 @@
 
     // True once when the store has to be read whatever its version, see
     // distribution::configuration_sync.
-    bool take_store_wanted() { return configuration_sync_.take_store_wanted(); }
+    bool take_store_wanted() { return configuration_sync_.take_store_reread_needed(); }
 
     std::vector<action> take_actions() { return context_.out.take_actions(); }
     const context& state() const { return context_; }
--- a/tests/configuration_spread_test.cpp
+++ b/tests/configuration_sync_test.cpp
@@ -1,4 +1,6 @@
-// Configuration: the text's way from the store and from peer to peer.
+// Synchronization of the configuration from the store and between peers.
+#include "distribution/configuration_sync.h"
+
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -7,7 +9,6 @@
 
 #include "base/hash.h"
 #include "configuration/patch.h"
-#include "distribution/configuration_sync.h"
 #include "instance/context.h"
 #include "instance/instance.h"
 #include "support/fleet_text.h"
@@ -23,7 +24,7 @@
     return testing::fleet_text({.zones = 1, .services = 1, .targets = targets});
 }
 
-// One slice with its context; what it sends is taken from the context's actions.
+// A configuration_sync with the state of an instance; sent messages are taken from its actions.
 struct node {
     explicit node(const std::string& name, std::span<const membership::listed_instance> listed)
         : shared{identity{.name = name,
@@ -31,10 +32,10 @@
                           .peer_address = name,
                           .incarnation = 1,
                           .started = start}},
-          slice{{.configuration = shared.configuration,
-                 .is_configuration_confirmed = shared.is_configuration_confirmed,
-                 .previous = shared.previous,
-                 .out = shared.out}} {
+          sync{{.configuration = shared.configuration,
+                .is_configuration_confirmed = shared.is_configuration_confirmed,
+                .previous = shared.previous,
+                .out = shared.out}} {
         shared.peers.set_listed(listed, start);
     }
 
@@ -51,13 +52,13 @@
 
     void receive(const wire::peer_message& message, clock::time_point now) {
         if (message.__isset.beat) {
-            slice.on_heartbeat(message, now);
+            sync.on_heartbeat(message, now);
         }
         if (message.__isset.configuration_request) {
-            slice.on_wanted(message.sender, message.configuration_request);
+            sync.on_request(message.sender, message.configuration_request);
         }
         if (message.__isset.configuration) {
-            slice.on_part(message.sender, message.configuration, now);
+            sync.on_part(message.sender, message.configuration, now);
         }
     }
 
@@ -72,7 +73,7 @@
     }
 
     context shared;
-    distribution::configuration_sync slice;
+    distribution::configuration_sync sync;
 };
 
 std::vector<membership::listed_instance> listed(int count) {
@@ -84,13 +85,14 @@
     return result;
 }
 
-// Lets two nodes talk until both are silent; returns the messages and bytes that went over.
+// Messages and bytes sent between two nodes.
 struct traffic {
     int messages = 0;
     std::size_t bytes = 0;
 };
 
-traffic settle(node& first, node& second, clock::time_point now) {
+// Exchanges messages between two nodes until neither sends any more.
+traffic exchange_until_idle(node& first, node& second, clock::time_point now) {
     traffic result;
     wire::encoder encoder;
     const auto key = wire::derive_fleet_key("test");
@@ -124,10 +126,10 @@
     session.take_transcript();
 }
 
-TEST(configuration_spread, a_change_costs_each_peer_one_transfer) {
-    // An operator changes the text while one instance alone reaches the store; control traffic
-    // jumps. Each peer that had the new text sent it whole to each that hadn't, and was asked for
-    // it too, so that one change crossed the fleet dozens of times.
+TEST(configuration_sync, each_peer_receives_a_change_once) {
+    // An operator changes the text while only one instance reaches the store. If each peer with the
+    // new text sent it unrequested to each peer without, and again on request, one change would
+    // cross the fleet dozens of times.
     testing::session session;
     start_fleet_of_nine(session);
     session.run("set zone south out");
@@ -147,46 +149,47 @@
     }
 }
 
-TEST(configuration_spread, one_peer_is_asked_at_a_time) {
-    // A change reaches eight peers at once and all of their heartbeats arrive before the first
-    // answer does. Asking each of them brings the same text eight times.
+TEST(configuration_sync, a_change_is_requested_from_one_peer_at_a_time) {
+    // A change reaches eight peers at once, and the heartbeats of all arrive before the first part
+    // of a transfer. Requests to each of them would bring the same text eight times.
     const auto names = listed(9);
-    node subject{"a", names};
-    std::map<std::string, int> asked;
-    const auto hear_all = [&](clock::time_point now) {
+    node receiver{"a", names};
+    std::map<std::string, int> requests;
+    const auto receive_all_heartbeats = [&](clock::time_point now) {
         for (std::size_t i = 1; i < names.size(); ++i) {
             node peer{names[i].name, names};
-            peer.slice.on_store(text_with(2), 1);
-            subject.receive(peer.heartbeat(), now);
+            peer.sync.on_store(text_with(2), 1);
+            receiver.receive(peer.heartbeat(), now);
         }
-        for (const auto& sent : subject.take_sent()) {
-            ++asked[sent.name];
+        for (const auto& sent : receiver.take_sent()) {
+            ++requests[sent.name];
         }
     };
-    hear_all(start);
-    EXPECT_EQ(asked, (std::map<std::string, int>{{"b", 1}}));
-    // Its answer is lost: it is asked again, and another one when it stays silent.
-    hear_all(start + clock::duration{500});
-    EXPECT_EQ(asked, (std::map<std::string, int>{{"b", 2}}));
+    receive_all_heartbeats(start);
+    EXPECT_EQ(requests, (std::map<std::string, int>{{"b", 1}}));
+    // The response is lost: the request is repeated to the same peer; another peer is used only
+    // after that one has made no progress for a while.
+    receive_all_heartbeats(start + clock::duration{500});
+    EXPECT_EQ(requests, (std::map<std::string, int>{{"b", 2}}));
 }
 
-TEST(configuration_spread, a_late_transfer_does_not_replace_a_newer_text) {
-    // Found by the property test below. A peer is asked for version 1; before its answer arrives,
-    // the store shows version 2; the answer put version 1 in force again. It shows as a change that
-    // reverts for as long as the next heartbeat takes.
+TEST(configuration_sync, a_late_transfer_does_not_replace_a_newer_text) {
+    // Found by the property test below. Version 1 is requested from a peer; before the transfer
+    // arrives, version 2 is read from the store; the transfer then activated version 1 again. The
+    // change was reverted until the next heartbeat.
     const auto names = listed(2);
-    node subject{"a", names};
+    node receiver{"a", names};
     node peer{"b", names};
-    peer.slice.on_store(text_with(2), 1);
-    subject.receive(peer.heartbeat(), start);
-    subject.slice.on_store(text_with(3), 2);
-    settle(subject, peer, start);
-    EXPECT_EQ(subject.shared.configuration.version, 2);
+    peer.sync.on_store(text_with(2), 1);
+    receiver.receive(peer.heartbeat(), start);
+    receiver.sync.on_store(text_with(3), 2);
+    exchange_until_idle(receiver, peer, start);
+    EXPECT_EQ(receiver.shared.configuration.version, 2);
 }
 
-TEST(configuration_spread, zone_out_is_in_force_within_seconds_without_the_store) {
-    // A zone is taken out while all but one instance are cut off from the store, and some of these
-    // reach the one only through others. The zone would go on getting packets from them.
+TEST(configuration_sync, a_zone_out_reaches_instances_without_the_store_within_seconds) {
+    // A zone is taken out while only one instance reaches the store, and some instances reach that
+    // one only through other peers. Without the change they would keep sending packets to the zone.
     testing::session session;
     start_fleet_of_nine(session);
     for (int i = 4; i < 9; ++i) {
@@ -201,9 +204,9 @@
     }
 }
 
-TEST(configuration_spread, an_instance_without_the_store_starts_from_its_peers) {
-    // The platform is down and an instance is replaced. It has no text, and would serve nothing
-    // until the platform is back.
+TEST(configuration_sync, an_instance_without_the_store_starts_from_its_peers) {
+    // An instance is replaced while the platform is down. Without a configuration from its peers it
+    // could not serve until the platform is available again.
     testing::session session;
     start_fleet_of_nine(session);
     session.run("set zone south out");
@@ -214,82 +217,83 @@
     EXPECT_EQ(session.core("i8").state().configuration.version, 2);
 }
 
-TEST(configuration_spread, a_large_change_travels_as_a_small_patch) {
-    // At the planned size a change sent whole exceeds the control budget: some 750 KB, 3,400 times
-    // a day, are 30 KB a second for each daemon.
+TEST(configuration_sync, a_change_of_a_large_text_is_sent_as_a_small_patch) {
+    // At the planned size, full transfers would exceed the budget for control traffic: about 750 KB
+    // 3,400 times a day is 30 KB per second for each daemon.
     const auto before = testing::fleet_text({.zones = 6, .services = 1'400, .targets = 4'700});
     auto after = before;
     after.replace(after.rfind("\"cold_connections\": 200"), 23, "\"cold_connections\": 300");
     const auto names = listed(2);
     node first{"a", names};
     node second{"b", names};
-    first.slice.on_store(before, 1);
+    first.sync.on_store(before, 1);
     second.receive(first.heartbeat(), start);
-    const auto whole = settle(first, second, start);
+    const auto full = exchange_until_idle(first, second, start);
     ASSERT_EQ(second.shared.configuration.version, 1);
-    first.slice.on_store(after, 2);
+    first.sync.on_store(after, 2);
     second.receive(first.heartbeat(), start);
-    const auto change = settle(first, second, start);
+    const auto change = exchange_until_idle(first, second, start);
     ASSERT_EQ(second.shared.configuration.text, after);
     EXPECT_LT(change.bytes, 500);
-    EXPECT_LT(whole.bytes, 64 * 1024);
+    EXPECT_LT(full.bytes, 64 * 1024);
     RecordProperty("text_bytes", static_cast<int>(before.size()));
-    RecordProperty("whole_bytes", static_cast<int>(whole.bytes));
-    RecordProperty("whole_messages", whole.messages);
+    RecordProperty("whole_bytes", static_cast<int>(full.bytes));
+    RecordProperty("whole_messages", full.messages);
     RecordProperty("change_bytes", static_cast<int>(change.bytes));
 }
 
-TEST(configuration_spread, a_restored_store_never_reverts_the_fleet) {
-    // The store comes back from an older copy and shows an older version, in which a zone that is
-    // out is still in. Taking it would send packets there again.
-    node subject{"a", listed(1)};
-    ASSERT_TRUE(subject.slice.on_store(text_with(3), 7));
-    EXPECT_FALSE(subject.slice.on_store(text_with(2), 5));
-    EXPECT_EQ(subject.shared.configuration.version, 7);
-    EXPECT_EQ(subject.shared.configuration.targets.size(), 3);
+TEST(configuration_sync, a_restored_store_does_not_revert_the_fleet) {
+    // The store is restored from an older copy and returns an older version, in which a zone that
+    // is out is still in. Accepting it would send packets there again.
+    node receiver{"a", listed(1)};
+    ASSERT_TRUE(receiver.sync.on_store(text_with(3), 7));
+    EXPECT_FALSE(receiver.sync.on_store(text_with(2), 5));
+    EXPECT_EQ(receiver.shared.configuration.version, 7);
+    EXPECT_EQ(receiver.shared.configuration.targets.size(), 3);
 }
 
-// A target that an earlier text named stays known as removed, for its flows.
-std::ptrdiff_t targets_named_by_text(const node& subject) {
-    const auto& targets = subject.shared.configuration.targets;
+// Number of targets without those that an earlier text listed, which are retained as removed for
+// their flows.
+std::ptrdiff_t count_listed_targets(const node& receiver) {
+    const auto& targets = receiver.shared.configuration.targets;
     return std::ranges::count_if(targets, [](const auto& each) {
         return each.state != configuration::target_state::removed;
     });
 }
 
-TEST(configuration_spread, two_texts_under_one_version_end_at_that_of_the_store) {
-    // After a restore the store gives a version a second time. Half of the fleet serves one text,
-    // half another, under the same number, and no one is behind anyone.
+TEST(configuration_sync, of_two_texts_under_one_version_that_of_the_store_wins) {
+    // After a restore the store assigns a version a second time. Half of the fleet uses one text
+    // and half another under the same version, so a comparison of versions finds no difference.
     const auto names = listed(3);
     node confirmed{"a", names};
     node follower{"b", names};
-    confirmed.slice.on_store(text_with(2), 4);
+    confirmed.sync.on_store(text_with(2), 4);
     node earlier{"c", names};
-    earlier.slice.on_store(text_with(3), 4);
+    earlier.sync.on_store(text_with(3), 4);
     follower.receive(earlier.heartbeat(), start);
-    settle(follower, earlier, start);
-    ASSERT_EQ(targets_named_by_text(follower), 3);
+    exchange_until_idle(follower, earlier, start);
+    ASSERT_EQ(count_listed_targets(follower), 3);
 
     follower.receive(confirmed.heartbeat(), start);
-    settle(follower, confirmed, start);
-    EXPECT_EQ(targets_named_by_text(follower), 2);
-    EXPECT_TRUE(follower.slice.take_store_wanted());
-    // One that has read its text from the store itself doesn't follow a peer; its store decides.
+    exchange_until_idle(follower, confirmed, start);
+    EXPECT_EQ(count_listed_targets(follower), 2);
+    EXPECT_TRUE(follower.sync.take_store_reread_needed());
+    // An instance that has read its text from the store ignores the peer and reads the store again.
     earlier.receive(confirmed.heartbeat(), start);
     EXPECT_TRUE(earlier.take_sent().empty());
-    ASSERT_TRUE(earlier.slice.take_store_wanted());
-    EXPECT_TRUE(earlier.slice.on_store(text_with(2), 4));
-    EXPECT_EQ(targets_named_by_text(earlier), 2);
+    ASSERT_TRUE(earlier.sync.take_store_reread_needed());
+    EXPECT_TRUE(earlier.sync.on_store(text_with(2), 4));
+    EXPECT_EQ(count_listed_targets(earlier), 2);
 }
 
-TEST(configuration_spread, a_text_that_fails_the_checks_is_asked_for_once) {
-    // A peer of a later release accepts a text that this one refuses. Each of its heartbeats would
-    // lead to another full transfer, twice a second, for as long as the text stands.
+TEST(configuration_sync, an_invalid_text_is_requested_once) {
+    // A peer of a later release accepts a text that this instance rejects. Each of its heartbeats
+    // would trigger another full transfer, twice a second, for as long as the text is in use.
     const auto names = listed(2);
-    node subject{"a", names};
-    subject.slice.on_store(text_with(2), 1);
+    node receiver{"a", names};
+    receiver.sync.on_store(text_with(2), 1);
     const std::string text = R"({"zones": [], "services": [], "targets": [], "unheard_of": 1})";
-    configuration::step_history history;
+    configuration::patch_history history;
     const auto bytes = history.transfer_from(0, text);
     wire::heartbeat beat;
     beat.configuration_version = 2;
@@ -297,36 +301,36 @@
     wire::peer_message heartbeat;
     heartbeat.sender = "b";
     heartbeat.__set_beat(beat);
-    subject.receive(heartbeat, start);
-    ASSERT_EQ(subject.take_sent().size(), 1);
+    receiver.receive(heartbeat, start);
+    ASSERT_EQ(receiver.take_sent().size(), 1);
     wire::configuration_part part;
     part.version = 2;
     part.digest = beat.configuration_digest;
     part.transfer = 9;
     part.size = static_cast<std::int32_t>(bytes.size());
     part.content = bytes;
-    subject.slice.on_part("b", part, start);
+    receiver.sync.on_part("b", part, start);
     for (int i = 1; i < 10; ++i) {
-        subject.receive(heartbeat, start + clock::duration{500 * i});
-        EXPECT_TRUE(subject.take_sent().empty());
+        receiver.receive(heartbeat, start + clock::duration{500 * i});
+        EXPECT_TRUE(receiver.take_sent().empty());
     }
-    EXPECT_EQ(subject.shared.configuration.version, 1);
+    EXPECT_EQ(receiver.shared.configuration.version, 1);
 }
 
-// Random losses, duplicates and reordering between three peers while the store gives versions to
-// any of them: no version falls, each text in force is exactly what the store gave under its
-// version, and all are at the newest once messages arrive again.
-RC_GTEST_PROP(configuration_spread, converges_and_never_reverts,
-              (const std::vector<std::uint8_t>& picks)) {
+// Messages between three peers are randomly lost, duplicated and reordered while any of them reads
+// new versions from the store. No version decreases, each active text is exactly what the store
+// holds under its version, and all peers reach the newest version once messages are delivered.
+RC_GTEST_PROP(configuration_sync, converges_and_never_reverts,
+              (const std::vector<std::uint8_t>& choices)) {
     const auto names = listed(3);
     std::vector<std::unique_ptr<node>> nodes;
     nodes.reserve(names.size());
     for (const auto& each : names) {
         nodes.push_back(std::make_unique<node>(each.name, names));
     }
-    std::map<std::int64_t, std::string> given;
+    std::map<std::int64_t, std::string> stored_texts;
     std::vector<send_to_peer> in_flight;
-    std::vector<std::int64_t> seen(nodes.size(), 0);
+    std::vector<std::int64_t> last_versions(nodes.size(), 0);
     auto now = start;
     const auto deliver = [&](const send_to_peer& sent) {
         nodes[static_cast<std::size_t>(sent.name.front() - 'a')]->receive(sent.content, now);
@@ -339,38 +343,40 @@
             }
         }
     };
-    const auto beat = [&](std::size_t from, std::size_t to) {
+    const auto send_heartbeat = [&](std::size_t from, std::size_t to) {
         if (from != to) {
             in_flight.push_back({nodes[to]->shared.self.name, "", nodes[from]->heartbeat()});
         }
     };
-    const auto check = [&] {
+    const auto check_versions = [&] {
         for (std::size_t i = 0; i < nodes.size(); ++i) {
             const auto& current = nodes[i]->shared.configuration;
-            RC_ASSERT(current.version >= seen[i]);
-            seen[i] = current.version;
-            const auto found = given.find(current.version);
-            RC_ASSERT(current.text == (found == given.end() ? std::string{} : found->second));
+            RC_ASSERT(current.version >= last_versions[i]);
+            last_versions[i] = current.version;
+            const auto found = stored_texts.find(current.version);
+            RC_ASSERT(current.text ==
+                      (found == stored_texts.end() ? std::string{} : found->second));
         }
     };
-    for (const auto pick : picks) {
-        now += clock::duration{pick};
-        const auto subject = static_cast<std::size_t>(pick / 8 % 3);
-        switch (pick % 8) {
+    for (const auto choice : choices) {
+        now += clock::duration{choice};
+        const auto chosen = static_cast<std::size_t>(choice / 8 % 3);
+        switch (choice % 8) {
             case 0: {
-                const auto version = static_cast<std::int64_t>(given.size()) + 1;
-                given[version] = text_with(2 + pick % 40);
-                nodes[subject]->slice.on_store(given[version], version);
+                const auto version = static_cast<std::int64_t>(stored_texts.size()) + 1;
+                stored_texts[version] = text_with(2 + choice % 40);
+                nodes[chosen]->sync.on_store(stored_texts[version], version);
                 break;
             }
             case 1:
-                if (!given.empty()) {  // a late answer of the store: an older version
-                    nodes[subject]->slice.on_store(given.begin()->second, given.begin()->first);
+                if (!stored_texts.empty()) {  // a late response of the store with an older version
+                    nodes[chosen]->sync.on_store(stored_texts.begin()->second,
+                                                 stored_texts.begin()->first);
                 }
                 break;
             case 2:
             case 3:
-                beat(subject, pick / 24 % 3);
+                send_heartbeat(chosen, choice / 24 % 3);
                 break;
             case 4:
                 if (!in_flight.empty()) {  // lost
@@ -384,31 +390,32 @@
                 break;
             default:
                 if (!in_flight.empty()) {  // out of order
-                    const auto index = pick % in_flight.size();
+                    const auto index = choice % in_flight.size();
                     const auto sent = in_flight[index];
                     in_flight.erase(in_flight.begin() + static_cast<std::ptrdiff_t>(index));
                     deliver(sent);
                 }
         }
         collect();
-        check();
+        check_versions();
     }
     for (int round = 0; round < 12; ++round) {
         now += membership::heartbeat_interval;
         for (std::size_t from = 0; from < nodes.size(); ++from) {
-            beat(from, (from + 1) % 3);
-            beat(from, (from + 2) % 3);
+            send_heartbeat(from, (from + 1) % 3);
+            send_heartbeat(from, (from + 2) % 3);
         }
         while (!in_flight.empty()) {
             const auto sent = in_flight.front();
             in_flight.erase(in_flight.begin());
             deliver(sent);
             collect();
-            check();
+            check_versions();
         }
     }
     for (const auto& each : nodes) {
-        RC_ASSERT(each->shared.configuration.version == static_cast<std::int64_t>(given.size()));
+        RC_ASSERT(each->shared.configuration.version ==
+                  static_cast<std::int64_t>(stored_texts.size()));
     }
 }
 
