--- a/libraries/hand_over/hand_over_parts.cpp
+++ b/libraries/hand_over/hand_over_parts.cpp
@@ -6,26 +6,27 @@
 namespace bramleytrack::hand_over {
 namespace {
 
-// Numbers, field headers and lengths of one record in Thrift's compact protocol.
+// Upper bounds of the integers, field headers and length prefixes of one record in Thrift's compact
+// protocol.
 constexpr std::size_t fixed_flow_bytes = 48;
 constexpr std::size_t fixed_request_bytes = 176;
 
 }  // namespace
 
-std::size_t size_bound(const wire::flow_record& record) {
+std::size_t max_encoded_size(const wire::flow_record& record) {
     return fixed_flow_bytes + record.service_address.size() + record.service_name.size() +
            record.caller.size() + record.member.size() + record.target.size();
 }
 
-std::size_t size_bound(const wire::request_record& record) {
+std::size_t max_encoded_size(const wire::request_record& record) {
     const auto& outcome = record.content;
     return fixed_request_bytes + outcome.service_address.size() + outcome.caller.size() +
            outcome.member.size() + outcome.payload.size();
 }
 
-// Failure: a waiting request whose payload doesn't fit a message would be dispatched empty by the
-// receiver. It has not been sent, so it ends here as not run; a dispatched one is not tried again.
-void shrink(wire::request_record& record) {
+// Without its payload, a waiting request would be dispatched empty by the receiver. It has not been
+// sent to the target, so it is rejected as not run; a dispatched one is not retried.
+void drop_payload(wire::request_record& record) {
     auto& content = record.content;
     content.payload.clear();
     const bool is_waiting =
@@ -45,12 +46,12 @@
     record.attempts = records::max_attempts;
 }
 
-std::vector<wire::hand_over> split(const wire::hand_over& head,
-                                   std::vector<wire::flow_record> flows,
-                                   std::vector<wire::request_record> requests) {
+std::vector<wire::hand_over> split_into_parts(const wire::hand_over& head,
+                                              std::vector<wire::flow_record> flows,
+                                              std::vector<wire::request_record> requests) {
     std::vector<wire::hand_over> parts{head};
     std::size_t bytes = 0;
-    const auto make_room = [&](std::size_t size) {
+    const auto start_part_if_full = [&](std::size_t size) {
         if (bytes > 0 && bytes + size > max_part_bytes) {
             parts.push_back(head);
             bytes = 0;
@@ -58,14 +59,14 @@
         bytes += size;
     };
     for (auto& record : flows) {
-        make_room(size_bound(record));
+        start_part_if_full(max_encoded_size(record));
         parts.back().flows.push_back(std::move(record));
     }
     for (auto& record : requests) {
-        if (size_bound(record) > max_record_bytes) {
-            shrink(record);
+        if (max_encoded_size(record) > max_record_bytes) {
+            drop_payload(record);
         }
-        make_room(size_bound(record));
+        start_part_if_full(max_encoded_size(record));
         parts.back().requests.push_back(std::move(record));
     }
     for (std::size_t i = 0; i < parts.size(); ++i) {
--- a/libraries/hand_over/hand_over_parts.h
+++ b/libraries/hand_over/hand_over_parts.h
@@ -1,6 +1,6 @@
-// Cuts the records of one target into datagrams.
+// Splits the records of one target into parts that fit into datagrams.
 //
-// Requests carry whole packets, so parts are bounded by bytes and not by a number of records.
+// Request records contain whole packets, so parts are limited by size and not by record count.
 #pragma once
 
 #include <cstddef>
@@ -10,22 +10,24 @@
 
 namespace bramleytrack::hand_over {
 
-// Few enough fragments on Ethernet that a single loss stays cheap, large enough that the
-// acknowledgements of 200,000 flows are some thousands.
+// Small enough that the loss of one IP fragment on Ethernet costs little, large enough that 200,000
+// flows need only a few thousand acknowledgements.
 constexpr std::size_t max_part_bytes = 8'000;
-// A record above this goes alone in its part and has to fit into a datagram with what surrounds it.
+// Maximum size of a record. A large one is sent alone in its part, and must fit into a datagram
+// together with the rest of the message.
 constexpr std::size_t max_record_bytes = 60'000;
 
-// Upper bounds of the encoded size.
-std::size_t size_bound(const wire::flow_record& record);
-std::size_t size_bound(const wire::request_record& record);
+// Upper bound of the encoded size.
+std::size_t max_encoded_size(const wire::flow_record& record);
+std::size_t max_encoded_size(const wire::request_record& record);
 
-// Makes a record fit: the payload is dropped, and an outcome without its payload becomes unknown.
-void shrink(wire::request_record& record);
+// Drops the payload of a record that exceeds max_record_bytes. An answer without its payload
+// becomes an unknown outcome, and a waiting request is rejected.
+void drop_payload(wire::request_record& record);
 
-// At least one part. `head` has the fields that every part repeats.
-std::vector<wire::hand_over> split(const wire::hand_over& head,
-                                   std::vector<wire::flow_record> flows,
-                                   std::vector<wire::request_record> requests);
+// Returns at least one part. `head` holds the fields that are repeated in each part.
+std::vector<wire::hand_over> split_into_parts(const wire::hand_over& head,
+                                              std::vector<wire::flow_record> flows,
+                                              std::vector<wire::request_record> requests);
 
 }  // namespace bramleytrack::hand_over
--- a/libraries/hand_over/hand_overs.cpp
+++ b/libraries/hand_over/hand_overs.cpp
@@ -1,4 +1,4 @@
-// Moves of an ownership between live instances: the part of the membership protocol that carries
+// Moves of ownership between live instances: the part of the membership protocol that transfers
 // records.
 #include <algorithm>
 
@@ -10,8 +10,9 @@
 namespace bramleytrack::hand_over {
 namespace {
 
-// A receiver claims what it has got within one heartbeat; a move older than this says nothing.
-constexpr clock::duration move_memory{10'000};
+// Retention of a complete move. The receiver claims the target within one heartbeat, so an older
+// entry is no longer relevant.
+constexpr clock::duration move_retention{10'000};
 
 wire::peer_message to_message(const wire::hand_over& part) {
     wire::peer_message message;
@@ -24,7 +25,7 @@
 void membership_protocol::start_hand_over(std::string_view target, const peer& receiver,
                                           clock::time_point now) {
     wire::hand_over head;
-    auto parts = cut_out(target, head, now);
+    auto parts = extract_records(target, head, now);
     const auto epoch = shared_.ownership.begin_move(target, receiver, now);
     for (auto& part : parts) {
         part.epoch = epoch;
@@ -35,13 +36,13 @@
                         .with("parts", static_cast<std::int64_t>(parts.size())));
     const auto [added, is_new] = outgoing_.insert_or_assign(
         std::string{target}, outgoing_transfer{receiver.name, std::move(parts), now});
-    send_due(added->second, now);
+    send_due_parts(added->second, now);
 }
 
-// Failure: heartbeats were lost, a peer took the target over from a live owner, and both own it.
-// The later claim is valid. The other instance stops at once and sends what it knows, so that the
-// peer learns of flows and requests that it has never seen.
-void membership_protocol::start_yield(std::string_view target, clock::time_point now) {
+// When heartbeats are lost, a peer may take the target over from a live owner, and both own it. The
+// later claim is valid. The other instance stops serving the target and sends its records, so that
+// the peer also holds the flows and requests that it has not seen.
+void membership_protocol::yield_target(std::string_view target, clock::time_point now) {
     const auto valid = shared_.peers.claim_of(target, now);
     if (valid.by == nullptr) {
         return;
@@ -49,20 +50,20 @@
     wire::hand_over head;
     head.is_merge = true;
     head.epoch = valid.epoch;
-    auto parts = cut_out(target, head, now);
+    auto parts = extract_records(target, head, now);
     shared_.ownership.yield(target, valid);
     shared_.out.log(
         log_event{"target_yielded"}.with("target", target).with("receiver", valid.by->name));
     const auto [added, is_new] = outgoing_.insert_or_assign(
         std::string{target}, outgoing_transfer{valid.by->name, std::move(parts), now});
-    send_due(added->second, now);
+    send_due_parts(added->second, now);
 }
 
-// Takes the records of an owned target out of the tables and cuts them into parts. From here on
-// this instance dispatches nothing to the target, so that the receiver's count is exact.
-std::vector<wire::hand_over> membership_protocol::cut_out(std::string_view target,
-                                                          wire::hand_over head,
-                                                          clock::time_point now) {
+// Removes the records of an owned target from the tables and splits them into parts. After this the
+// instance dispatches nothing to the target, so the receiver's slot count is exact.
+std::vector<wire::hand_over> membership_protocol::extract_records(std::string_view target,
+                                                                  wire::hand_over head,
+                                                                  clock::time_point now) {
     const auto& load = shared_.loads[std::string{target}];
     const auto& owned = *shared_.ownership.find(target);
     head.target = target;
@@ -70,15 +71,15 @@
     head.cold_left_ms = load.cold.left(now).count();
     head.assumed_slots = now < load.assumed_until ? load.assumed_slots : 0;
     auto flows = shared_.flows.records_on(target);
-    keep_locations(flows, target, now);
-    auto parts = split(head, std::move(flows), shared_.requests.records_on(target));
+    save_locations(flows, target, now);
+    auto parts = split_into_parts(head, std::move(flows), shared_.requests.records_on(target));
     erase_records(target);
     return parts;
 }
 
-// Failure: the owner of a target hands it over and forgets its flows, though it stays the home of
-// some of them. A late copy of an opening packet then opens the flow at a second target.
-void membership_protocol::keep_locations(std::span<const wire::flow_record> flows,
+// An owner that hands a target over may remain the home of some of its flows. It keeps their
+// locations; otherwise a late copy of an opening packet would open the flow at a second target.
+void membership_protocol::save_locations(std::span<const wire::flow_record> flows,
                                          std::string_view target, clock::time_point now) {
     for (const auto& record : flows) {
         const auto key = static_cast<routing::flow_key>(record.key);
@@ -97,21 +98,22 @@
     shared_.loads.erase(std::string{target});
 }
 
-void membership_protocol::send_due(outgoing_transfer& transfer, clock::time_point now) {
-    for (const auto* part : transfer.take_due(now)) {
+void membership_protocol::send_due_parts(outgoing_transfer& transfer, clock::time_point now) {
+    for (const auto* part : transfer.take_due_parts(now)) {
         shared_.out.send_peer(transfer.receiver(), to_message(*part));
     }
 }
 
-void membership_protocol::tend_transfers(clock::time_point now) {
+void membership_protocol::update_transfers(clock::time_point now) {
     for (auto each = outgoing_.begin(); each != outgoing_.end();) {
-        each = tend(each->first, each->second, now) ? outgoing_.erase(each) : std::next(each);
+        each = update_transfer(each->first, each->second, now) ? outgoing_.erase(each)
+                                                               : std::next(each);
     }
 }
 
-// Returns true when the transfer is over.
-bool membership_protocol::tend(const std::string& target, outgoing_transfer& transfer,
-                               clock::time_point now) {
+// Returns true if the transfer has ended.
+bool membership_protocol::update_transfer(const std::string& target, outgoing_transfer& transfer,
+                                          clock::time_point now) {
     const auto* receiver = shared_.peers.find(transfer.receiver());
     const bool is_gone = receiver == nullptr || !shared_.peers.is_alive(transfer.receiver(), now) ||
                          transfer.is_stalled(now);
@@ -120,17 +122,17 @@
             shared_.out.log(log_event{"merge_abandoned"}.with("target", target));
             return true;
         }
-        send_due(transfer, now);
+        send_due_parts(transfer, now);
         return false;
     }
     const auto* move = shared_.ownership.find_move(target);
     const auto valid = shared_.peers.claim_of(target, now);
     if (valid.by != nullptr && valid.epoch >= transfer.epoch()) {
-        // The receiver has it all and its acknowledgements were lost, or another instance has taken
-        // the target over in the meantime and lacks the records.
+        // Either the receiver has all parts and its acknowledgements were lost, or another instance
+        // has taken the target over meanwhile and lacks the records.
         const bool has_arrived =
             valid.by->name == transfer.receiver() && valid.epoch == transfer.epoch();
-        finish(target, now);
+        complete_move(target, now);
         if (!has_arrived) {
             auto parts = transfer.take_parts();
             for (auto& part : parts) {
@@ -141,37 +143,37 @@
         }
         return has_arrived;
     }
-    // Failure: the receiver died or was restarted before it had everything, and the records would
-    // be lost with it. This instance still has them and still claims the target.
+    // If the receiver failed or restarted before it had all parts, the records would be lost with
+    // it. This instance still has them and still claims the target.
     if (is_gone || move == nullptr || receiver->incarnation != move->receiver_incarnation) {
-        take_back(target, transfer, now);
+        reclaim_target(target, transfer, now);
         return true;
     }
-    send_due(transfer, now);
+    send_due_parts(transfer, now);
     return false;
 }
 
-void membership_protocol::finish(const std::string& target, clock::time_point now) {
+void membership_protocol::complete_move(const std::string& target, clock::time_point now) {
     shared_.ownership.complete_move(target);
     held_.release(target);
     send_heartbeats(now);
 }
 
-void membership_protocol::take_back(const std::string& target, outgoing_transfer& transfer,
-                                    clock::time_point now) {
+void membership_protocol::reclaim_target(const std::string& target, outgoing_transfer& transfer,
+                                         clock::time_point now) {
     const auto* found = shared_.configuration.find_target(target);
     if (found == nullptr) {
         shared_.ownership.forget_move(target);
         held_.release(target);
         return;
     }
-    // The receiver may have had all parts and dispatched work before it died.
+    // The receiver may have had all parts and dispatched requests before it failed.
     shared_.ownership.receive(target, {.how = origin::taken_over,
                                        .since = now,
                                        .epoch = shared_.ownership.next_epoch(target),
                                        .fence_until = now + records::max_request_lifetime});
     for (const auto& part : transfer.parts()) {
-        absorb(*found, part, now, false);
+        merge_records(*found, part, now, false);
     }
     on_gained_(*found, origin::taken_over);
     shared_.out.log(log_event{"target_taken_back"}
@@ -181,22 +183,22 @@
     send_heartbeats(now);
 }
 
-void membership_protocol::tend_moves(clock::time_point now) {
-    std::vector<std::string> over;
+void membership_protocol::expire_moves(clock::time_point now) {
+    std::vector<std::string> expired;
     for (const auto& [name, move] : shared_.ownership.moved()) {
         const auto valid = shared_.peers.claim_of(name, now);
         const bool is_claimed = valid.by != nullptr && valid.epoch >= move.epoch;
-        const bool is_old = now - move.since >= move_memory;
+        const bool is_old = now - move.since >= move_retention;
         const auto* receiver = shared_.peers.find(move.receiver);
         const bool is_gone = !shared_.peers.is_alive(move.receiver, now) ||
                              receiver->incarnation != move.receiver_incarnation;
-        // A leaving instance keeps the time of its last move, see say_goodbye.
-        const bool is_needed = leaving_since_ && now - move.since < leave_linger;
+        // A leaving instance needs the time of its last move, see announce_stop.
+        const bool is_needed = leaving_since_ && now - move.since < leave_forwarding_time;
         if (move.is_complete && !is_needed && (is_claimed || is_old || is_gone)) {
-            over.push_back(name);
+            expired.push_back(name);
         }
     }
-    for (const auto& name : over) {
+    for (const auto& name : expired) {
         shared_.ownership.forget_move(name);
     }
 }
@@ -211,8 +213,8 @@
     shared_.out.send_peer(sender, std::move(message));
 }
 
-// A part that isn't taken is not acknowledged either: the sender then learns of a later claim, or
-// its transfer stalls and it takes the target back.
+// A part that is not accepted is not acknowledged: the sender then receives a later claim, or its
+// transfer times out and it reclaims the target.
 void membership_protocol::on_hand_over(const wire::peer_message& message, clock::time_point now) {
     const auto& part = message.handed_over;
     const auto* target = shared_.configuration.find_target(part.target);
@@ -222,52 +224,53 @@
     const auto* owned = shared_.ownership.find(part.target);
     if (part.is_merge) {
         if (owned != nullptr) {
-            absorb(*target, part, now, false);
+            merge_records(*target, part, now, false);
             on_merged_(*target);
             acknowledge(message.sender, part);
         }
         return;
     }
     if (owned != nullptr && owned->epoch == part.epoch) {
-        acknowledge(message.sender, part);  // a repeated part of a transfer that is complete
+        acknowledge(message.sender, part);  // a retransmitted part of a complete transfer
         return;
     }
-    // Failure: parts of an earlier transfer arrive late, after the target has moved on, and this
-    // instance would own it beside the valid owner. The epoch of such parts is not above all seen.
+    // Parts of an earlier transfer may arrive late, after a further move, and this instance would
+    // become a second owner. The epoch of such parts does not exceed the highest epoch seen.
     if (part.epoch < shared_.ownership.next_epoch(part.target)) {
         return;
     }
-    auto& whole = incoming_[part.target];
-    if (part.epoch < whole.epoch) {
+    auto& transfer = incoming_[part.target];
+    if (part.epoch < transfer.epoch) {
         return;
     }
-    if (part.epoch > whole.epoch || message.sender != whole.sender ||
-        message.incarnation != whole.incarnation) {
-        whole = {.sender = message.sender,
-                 .incarnation = message.incarnation,
-                 .epoch = part.epoch,
-                 .parts = {}};
+    if (part.epoch > transfer.epoch || message.sender != transfer.sender ||
+        message.incarnation != transfer.incarnation) {
+        transfer = {.sender = message.sender,
+                    .incarnation = message.incarnation,
+                    .epoch = part.epoch,
+                    .parts = {}};
     }
-    whole.parts.insert_or_assign(part.part, part);
-    if (whole.parts.size() == static_cast<std::size_t>(part.parts)) {
-        const auto all = std::move(whole);
+    transfer.parts.insert_or_assign(part.part, part);
+    if (transfer.parts.size() == static_cast<std::size_t>(part.parts)) {
+        const auto received = std::move(transfer);
         incoming_.erase(part.target);
-        complete(*target, all, now);
+        complete_hand_over(*target, received, now);
     }
     acknowledge(message.sender, part);
 }
 
-void membership_protocol::complete(const configuration::target& target, const incoming& whole,
-                                   clock::time_point now) {
-    const auto& head = whole.parts.begin()->second;
+void membership_protocol::complete_hand_over(const configuration::target& target,
+                                             const incoming_transfer& transfer,
+                                             clock::time_point now) {
+    const auto& head = transfer.parts.begin()->second;
     const auto fence = now + clock::duration{head.fence_ms};
     shared_.ownership.receive(
         target.name,
-        {.how = origin::handed_over, .since = now, .epoch = whole.epoch, .fence_until = fence});
-    shared_.flows.erase_on(target.name);  // what this instance knew as a home only
+        {.how = origin::handed_over, .since = now, .epoch = transfer.epoch, .fence_until = fence});
+    shared_.flows.erase_on(target.name);  // records held only as the home of the flows
     std::int64_t flows = 0;
-    for (const auto& [number, part] : whole.parts) {
-        absorb(target, part, now, true);
+    for (const auto& [number, part] : transfer.parts) {
+        merge_records(target, part, now, true);
         flows += static_cast<std::int64_t>(part.flows.size());
     }
     on_gained_(target, origin::handed_over);
@@ -276,17 +279,18 @@
     send_heartbeats(now);
 }
 
-// Adds what is not known yet. Unless the hand-over was whole, another instance may have dispatched
-// work on any of the flows, and all are fenced.
-void membership_protocol::absorb(const configuration::target& target, const wire::hand_over& part,
-                                 clock::time_point now, bool is_whole) {
+// Adds the records that this instance doesn't hold yet. Unless the hand-over is complete, another
+// instance may have dispatched requests on any of the flows, so all of them are fenced.
+void membership_protocol::merge_records(const configuration::target& target,
+                                        const wire::hand_over& part, clock::time_point now,
+                                        bool is_complete) {
     const auto* owned = shared_.ownership.find(target.name);
     for (auto record : part.flows) {
-        const auto* known = shared_.flows.find(static_cast<routing::flow_key>(record.key));
-        if (known != nullptr && known->record.target == target.name) {
+        const auto* existing = shared_.flows.find(static_cast<routing::flow_key>(record.key));
+        if (existing != nullptr && existing->record.target == target.name) {
             continue;
         }
-        if (!is_whole) {
+        if (!is_complete) {
             const auto fence = owned->fence_until + records::deadline_grace;
             record.in_doubt_until = std::max(record.in_doubt_until, to_milliseconds(fence));
         }
@@ -304,8 +308,8 @@
 void membership_protocol::restore_load(const configuration::target& target,
                                        const wire::hand_over& part, clock::time_point now) {
     auto& load = shared_.loads[target.name];
-    // Failure: a target is handed over during its cold start and the new owner takes it for warm.
-    // It shows as a cold target under full load. Its ramp goes on where it was.
+    // A target may be handed over during its cold start. Its ramp continues where it was; a new
+    // owner that took the target for warm would give it full load.
     load.cold.resume(clock::duration{part.cold_left_ms}, now);
     load.assumed_slots = part.assumed_slots;
     load.assumed_until = now + clock::duration{part.fence_ms} + records::deadline_grace;
@@ -322,13 +326,13 @@
     auto& transfer = found->second;
     transfer.acknowledge(acknowledged.part, now);
     if (!transfer.is_complete()) {
-        send_due(transfer, now);
+        send_due_parts(transfer, now);
         return;
     }
     const bool is_merge = transfer.is_merge();
     outgoing_.erase(found);
     if (!is_merge) {
-        finish(acknowledged.target, now);
+        complete_move(acknowledged.target, now);
     }
 }
 
--- a/libraries/hand_over/held_packets.h
+++ b/libraries/hand_over/held_packets.h
@@ -1,5 +1,6 @@
-// Packets for targets that are being moved: they wait until the move has ended and are then routed
-// anew. Without it each move loses the packets of a moment, and callers have to send them again.
+// Buffers packets for targets whose ownership is being moved, and releases them for routing when
+// the move has ended. Without it each move would drop the packets that arrive meanwhile, and
+// callers would have to retransmit them.
 #pragma once
 
 #include <map>
@@ -12,8 +13,8 @@
 
 namespace bramleytrack::hand_over {
 
-// Packets of each kind that wait for the end of one move; more are refused, and callers send them
-// again.
+// Maximum number of held packets of each kind per target; further ones are rejected, and callers
+// retransmit them.
 constexpr std::size_t max_held_packets = 4096;
 
 struct released_packets {
@@ -23,14 +24,14 @@
 
 class held_packets {
 public:
-    // Each returns false when there is no room.
+    // Each returns false if max_held_packets are held already.
     bool hold(std::string_view target, wire::forward content);
     bool hold(std::string_view target, wire::packet content);
 
-    // The target's move has ended.
+    // To be called when the move of the target has ended.
     void release(std::string_view target);
     void release_all();
-    // What was released since the last call.
+    // Packets released since the last call.
     released_packets take_released() { return std::exchange(released_, {}); }
 
 private:
--- a/libraries/hand_over/membership_protocol.cpp
+++ b/libraries/hand_over/membership_protocol.cpp
@@ -9,10 +9,11 @@
 namespace bramleytrack::hand_over {
 namespace {
 
-// Failure: the loop stalled, the heartbeats of a live owner wait in the socket, and the first tick
-// declares it dead. A stall this long delays takeovers until two more heartbeats could be read.
-constexpr clock::duration stall_limit{300};
-constexpr clock::duration stall_recovery = 2 * membership::heartbeat_interval;
+// After a stall of the event loop, heartbeats of live owners still wait in the socket, and the
+// first tick would declare these owners dead. A stall of this length delays takeovers until two
+// more heartbeats could be received.
+constexpr clock::duration max_loop_stall{300};
+constexpr clock::duration takeover_delay = 2 * membership::heartbeat_interval;
 
 }  // namespace
 
@@ -23,16 +24,16 @@
       on_merged_{std::move(on_merged)},
       last_event_{shared.self.started} {}
 
-// Failure: this process was paused, a successor took its targets over, and it goes on as their
-// owner. It shows as two owners that both dispatch. Datagrams that waited in the sockets may be
-// handled before the first tick, so the gap is looked for before every event; the records are
-// useless after it and are dropped. A pause between this check and a system call is closed by the
+// If this process was paused, another instance may have taken its targets over; continuing as their
+// owner would mean two owners that both dispatch. Datagrams that waited in the sockets may be
+// handled before the first tick, so the gap is checked before every event. The records are outdated
+// after a pause and are dropped. A pause between this check and a system call is covered by the
 // deadline of the dispatched request, see records/request_table.h.
 void membership_protocol::check_pause(clock::time_point now) {
     const auto gap = now - last_event_;
     last_event_ = std::max(last_event_, now);
-    if (gap >= stall_limit) {
-        shared_.ownership.hold_takeovers(now, stall_recovery);
+    if (gap >= max_loop_stall) {
+        shared_.ownership.hold_takeovers(now, takeover_delay);
     }
     if (gap <= membership::pause_limit) {
         return;
@@ -51,21 +52,21 @@
 void membership_protocol::on_tick(clock::time_point now) {
     update_eligibility(now);
     shared_.peers.forget_old(now);
-    tend_transfers(now);
-    tend_moves(now);
-    review(now);
-    say_goodbye(now);
+    update_transfers(now);
+    expire_moves(now);
+    review_ownership(now);
+    announce_stop(now);
     if (now - last_heartbeat_ >= membership::heartbeat_interval) {
         send_heartbeats(now);
     }
-    const auto view = view_digest(now);
-    is_view_changed_ = is_view_changed_ || view != last_view_;
-    last_view_ = view;
+    const auto digest = view_digest(now);
+    is_view_changed_ = is_view_changed_ || digest != last_view_digest_;
+    last_view_digest_ = digest;
 }
 
 void membership_protocol::update_eligibility(clock::time_point now) {
     const bool should_leave =
-        is_stop_wanted_ || shared_.configuration.is_retired(shared_.self.name);
+        is_leave_requested_ || shared_.configuration.is_retired(shared_.self.name);
     shared_.is_leaving = should_leave;
     shared_.peers.set_self_eligible(!should_leave);
     if (!should_leave) {
@@ -76,23 +77,23 @@
     }
 }
 
-void membership_protocol::say_goodbye(clock::time_point now) {
-    if (!leaving_since_ || has_said_goodbye_) {
+void membership_protocol::announce_stop(clock::time_point now) {
+    if (!leaving_since_ || has_announced_stop_) {
         return;
     }
     const bool is_idle = shared_.ownership.owned().empty() && outgoing_.empty() &&
-                         now - *leaving_since_ >= leave_linger &&
+                         now - *leaving_since_ >= leave_forwarding_time &&
                          std::ranges::all_of(shared_.ownership.moved(), [&](const auto& entry) {
-                             return now - entry.second.since >= leave_linger;
+                             return now - entry.second.since >= leave_forwarding_time;
                          });
-    if (!is_idle && now - *leaving_since_ < leave_limit) {
+    if (!is_idle && now - *leaving_since_ < leave_timeout) {
         return;
     }
-    has_said_goodbye_ = true;
+    has_announced_stop_ = true;
     send_heartbeats(now);
 }
 
-void membership_protocol::review(clock::time_point now) {
+void membership_protocol::review_ownership(clock::time_point now) {
     const auto change = shared_.ownership.review(shared_.configuration, shared_.peers, now);
     for (const auto& name : change.to_withdraw) {
         erase_records(name);
@@ -100,27 +101,27 @@
         shared_.out.log(log_event{"target_withdrawn"}.with("target", name));
     }
     for (const auto& name : change.to_yield) {
-        start_yield(name, now);
+        yield_target(name, now);
     }
     for (const auto& name : change.taken_over) {
         const auto& target = *shared_.configuration.find_target(name);
         shared_.out.log(log_event{"target_taken_over"}.with("target", name));
-        // What a dead owner had handed over before it died is worth keeping.
+        // Keeps the records that the previous owner had sent before it failed.
         const auto partial = incoming_.find(name);
         if (partial != incoming_.end()) {
             for (const auto& [number, part] : partial->second.parts) {
-                absorb(target, part, now, false);
+                merge_records(target, part, now, false);
             }
             incoming_.erase(partial);
         }
         on_gained_(target, origin::taken_over);
     }
     for (const auto& name : change.wanted) {
-        wire::ownership_wanted wanted;
-        wanted.target = name;
-        wanted.epoch = shared_.ownership.highest_epoch(name);
+        wire::ownership_wanted request;
+        request.target = name;
+        request.epoch = shared_.ownership.highest_epoch(name);
         wire::peer_message message;
-        message.__set_wanted(wanted);
+        message.__set_wanted(request);
         shared_.out.send_peer(shared_.peers.claim_of(name, now).by->name, std::move(message));
     }
     if (!change.taken_over.empty()) {
@@ -136,25 +137,26 @@
         const auto* owned = shared_.ownership.find(load.target);
         if (owned != nullptr &&
             membership::supersedes(load.epoch, message.sender, owned->epoch, shared_.self.name)) {
-            start_yield(load.target, now);
+            yield_target(load.target, now);
         }
     }
 }
 
-void membership_protocol::on_wanted(std::string_view sender, const wire::ownership_wanted& wanted,
-                                    clock::time_point now) {
-    const auto* target = shared_.configuration.find_target(wanted.target);
+void membership_protocol::on_ownership_request(std::string_view sender,
+                                               const wire::ownership_wanted& request,
+                                               clock::time_point now) {
+    const auto* target = shared_.configuration.find_target(request.target);
     const auto* receiver = shared_.peers.find(sender);
     if (target == nullptr || receiver == nullptr ||
-        shared_.ownership.find(wanted.target) == nullptr) {
+        shared_.ownership.find(request.target) == nullptr) {
         return;
     }
     const auto eligible = shared_.peers.eligible_owners(target->zone, now);
-    if (routing::rendezvous_winner(eligible, wanted.target) == sender) {
-        // Failure: this instance was restarted and counts epochs from the beginning; the receiver
-        // remembers higher ones and takes the hand-over for an old one.
-        shared_.ownership.note_epoch(wanted.target, wanted.epoch);
-        start_hand_over(wanted.target, *receiver, now);
+    if (routing::rendezvous_winner(eligible, request.target) == sender) {
+        // After a restart this instance counts epochs from the beginning, while the receiver has
+        // seen higher ones and would ignore the hand-over as outdated.
+        shared_.ownership.note_epoch(request.target, request.epoch);
+        start_hand_over(request.target, *receiver, now);
     }
 }
 
@@ -166,7 +168,7 @@
     beat.configuration_digest = static_cast<std::int64_t>(shared_.configuration.digest);
     beat.configuration_confirmed = shared_.is_configuration_confirmed;
     beat.is_leaving = shared_.is_leaving;
-    beat.is_stopping = has_said_goodbye_;
+    beat.is_stopping = has_announced_stop_;
     beat.stamp = to_milliseconds(now);
     for (const auto& [name, owned] : shared_.ownership.owned()) {
         const auto* target = shared_.configuration.find_target(name);
@@ -182,7 +184,7 @@
         entry.epoch = owned.epoch;
         beat.owned.push_back(std::move(entry));
     }
-    // A target on the move is claimed until the receiver has everything.
+    // A target that is being moved is claimed until the receiver has acknowledged all parts.
     for (const auto& [name, move] : shared_.ownership.moved()) {
         if (!move.is_complete) {
             wire::target_load entry;
--- a/libraries/hand_over/membership_protocol.h
+++ b/libraries/hand_over/membership_protocol.h
@@ -1,11 +1,12 @@
 // Heartbeats, takeover and hand-over of targets between the instances of a zone.
 //
-// A move goes in four steps. The winner of the rendezvous asks the claimant (ownership_wanted). The
-// claimant stops serving the target, sends all records in parts, and holds the packets that arrive
-// meanwhile; it claims the target until every part is acknowledged, so that nobody takes it over in
-// between. The receiver owns the target from the last part on and says so at once. Then the held
-// packets follow. If the receiver dies or falls silent in between, the sender takes the records
-// back and treats the target like one that was taken over from a dead owner.
+// A move has four steps. The winner of the rendezvous hashing requests the target from the claimant
+// (ownership_wanted). The claimant stops serving the target, sends all records in parts, and holds
+// the packets that arrive meanwhile; it claims the target until every part is acknowledged, so that
+// no other instance takes it over. The receiver owns the target from the last part on and announces
+// it immediately. Then the held packets are forwarded. If the receiver fails or stops acknowledging
+// in between, the sender restores the records and treats the target as one that was taken over from
+// a dead owner.
 #pragma once
 
 #include <functional>
@@ -34,16 +35,17 @@
 using membership::origin;
 using membership::peer;
 
-// A planned leave ends after this long even if no one has taken the targets.
-constexpr clock::duration leave_limit{30'000};
+// A planned leave ends after this time even if some targets have not been moved.
+constexpr clock::duration leave_timeout{30'000};
 
-// A leaving instance goes on passing packets for so long after its last target has moved: what it
-// dispatched is answered to its address, and the fabric's list lags.
-constexpr clock::duration leave_linger = records::max_request_lifetime + records::deadline_grace;
+// A leaving instance continues to forward packets for this long after the move of its last target:
+// answers to requests that it dispatched arrive at its address, and the fabric's list lags behind.
+constexpr clock::duration leave_forwarding_time =
+    records::max_request_lifetime + records::deadline_grace;
 
 class membership_protocol {
 public:
-    // What it needs of the instance.
+    // State of the instance that this class uses.
     struct shared_state {
         const identity& self;
         const configuration::configuration& configuration;
@@ -60,38 +62,38 @@
         outbox& out;
     };
 
-    // `on_gained` is called for each target that becomes this instance's.
+    // Called for each target whose ownership this instance gains.
     using gained_callback = std::function<void(const configuration::target&, origin)>;
 
-    // `on_merged` is called when records of a target arrive that this instance owns already.
+    // Called when records have been merged into those of a target that this instance already owns.
     using merged_callback = std::function<void(const configuration::target&)>;
 
     membership_protocol(const shared_state& shared, gained_callback on_gained,
                         merged_callback on_merged);
 
-    // Call before every event: drops what is owned when this process was paused.
+    // To be called before every event: drops all owned targets if this process was paused.
     void check_pause(clock::time_point now);
     void on_tick(clock::time_point now);
     void on_heartbeat(const wire::peer_message& message, clock::time_point now);
-    void on_wanted(std::string_view sender, const wire::ownership_wanted& wanted,
-                   clock::time_point now);
+    void on_ownership_request(std::string_view sender, const wire::ownership_wanted& request,
+                              clock::time_point now);
     void on_hand_over(const wire::peer_message& message, clock::time_point now);
     void on_acknowledged(std::string_view sender, const wire::hand_over_acknowledged& acknowledged,
                          clock::time_point now);
 
-    // Starts a planned leave.
-    void leave() { is_stop_wanted_ = true; }
-    // True when a leaving instance has said goodbye: it may stop.
-    bool may_stop() const { return has_said_goodbye_; }
+    // Starts a planned leave: the targets are handed over and the instance may then stop.
+    void leave() { is_leave_requested_ = true; }
+    // True after a leaving instance has announced to its peers that it stops.
+    bool may_stop() const { return has_announced_stop_; }
 
-    // Packets for targets that are being moved wait here; released when the move has ended.
+    // Packets for targets that are being moved.
     held_packets& held() { return held_; }
 
-    // Returns true once after homes of flows may have moved.
+    // Returns true once after the homes of flows may have changed.
     bool take_view_changed() { return std::exchange(is_view_changed_, false); }
 
 private:
-    struct incoming {
+    struct incoming_transfer {
         std::string sender;
         std::int64_t incarnation = 0;
         std::int64_t epoch = 0;
@@ -99,30 +101,32 @@
     };
 
     void update_eligibility(clock::time_point now);
-    void review(clock::time_point now);
-    void say_goodbye(clock::time_point now);
+    void review_ownership(clock::time_point now);
+    void announce_stop(clock::time_point now);
     wire::heartbeat make_heartbeat(clock::time_point now);
     void send_heartbeats(clock::time_point now);
 
     void start_hand_over(std::string_view target, const peer& receiver, clock::time_point now);
-    void start_yield(std::string_view target, clock::time_point now);
-    std::vector<wire::hand_over> cut_out(std::string_view target, wire::hand_over head,
-                                         clock::time_point now);
-    void keep_locations(std::span<const wire::flow_record> flows, std::string_view target,
+    void yield_target(std::string_view target, clock::time_point now);
+    std::vector<wire::hand_over> extract_records(std::string_view target, wire::hand_over head,
+                                                 clock::time_point now);
+    void save_locations(std::span<const wire::flow_record> flows, std::string_view target,
                         clock::time_point now);
     void erase_records(std::string_view target);
-    void send_due(outgoing_transfer& transfer, clock::time_point now);
-    void tend_transfers(clock::time_point now);
-    bool tend(const std::string& target, outgoing_transfer& transfer, clock::time_point now);
-    void finish(const std::string& target, clock::time_point now);
-    void take_back(const std::string& target, outgoing_transfer& transfer, clock::time_point now);
-    void tend_moves(clock::time_point now);
+    void send_due_parts(outgoing_transfer& transfer, clock::time_point now);
+    void update_transfers(clock::time_point now);
+    bool update_transfer(const std::string& target, outgoing_transfer& transfer,
+                         clock::time_point now);
+    void complete_move(const std::string& target, clock::time_point now);
+    void reclaim_target(const std::string& target, outgoing_transfer& transfer,
+                        clock::time_point now);
+    void expire_moves(clock::time_point now);
 
     void acknowledge(std::string_view sender, const wire::hand_over& part);
-    void complete(const configuration::target& target, const incoming& whole,
-                  clock::time_point now);
-    void absorb(const configuration::target& target, const wire::hand_over& part,
-                clock::time_point now, bool is_whole);
+    void complete_hand_over(const configuration::target& target, const incoming_transfer& transfer,
+                            clock::time_point now);
+    void merge_records(const configuration::target& target, const wire::hand_over& part,
+                       clock::time_point now, bool is_complete);
     void restore_load(const configuration::target& target, const wire::hand_over& part,
                       clock::time_point now);
     std::uint64_t view_digest(clock::time_point now) const;
@@ -133,12 +137,12 @@
     clock::time_point last_event_;
     clock::time_point last_heartbeat_;
     std::map<std::string, outgoing_transfer, std::less<>> outgoing_;  // by target
-    std::map<std::string, incoming, std::less<>> incoming_;           // by target
+    std::map<std::string, incoming_transfer, std::less<>> incoming_;  // by target
     held_packets held_;
-    bool is_stop_wanted_ = false;
+    bool is_leave_requested_ = false;
     std::optional<clock::time_point> leaving_since_;
-    bool has_said_goodbye_ = false;
-    std::uint64_t last_view_ = 0;
+    bool has_announced_stop_ = false;
+    std::uint64_t last_view_digest_ = 0;
     bool is_view_changed_ = false;
 };
 
--- a/libraries/hand_over/outgoing_transfer.cpp
+++ b/libraries/hand_over/outgoing_transfer.cpp
@@ -11,12 +11,12 @@
       states_(parts_.size()),
       last_progress_{now} {}
 
-std::vector<const wire::hand_over*> outgoing_transfer::take_due(clock::time_point now) {
+std::vector<const wire::hand_over*> outgoing_transfer::take_due_parts(clock::time_point now) {
     std::vector<const wire::hand_over*> due;
-    const auto end = std::min(states_.size(), first_open_ + transfer_window);
-    for (auto i = first_open_; i < end; ++i) {
+    const auto end = std::min(states_.size(), first_unacknowledged_ + transfer_window);
+    for (auto i = first_unacknowledged_; i < end; ++i) {
         auto& state = states_[i];
-        if (state.is_acknowledged || (state.sent && now - *state.sent < part_repeat)) {
+        if (state.is_acknowledged || (state.sent && now - *state.sent < part_retry_interval)) {
             continue;
         }
         state.sent = now;
@@ -32,8 +32,9 @@
     }
     states_[index].is_acknowledged = true;
     last_progress_ = now;
-    while (first_open_ < states_.size() && states_[first_open_].is_acknowledged) {
-        ++first_open_;
+    while (first_unacknowledged_ < states_.size() &&
+           states_[first_unacknowledged_].is_acknowledged) {
+        ++first_unacknowledged_;
     }
 }
 
--- a/libraries/instance/instance.cpp
+++ b/libraries/instance/instance.cpp
@@ -179,7 +179,7 @@
         home_.on_query_answer(message.query_answer, now);
     }
     if (message.__isset.wanted) {
-        membership_.on_wanted(message.sender, message.wanted, now);
+        membership_.on_ownership_request(message.sender, message.wanted, now);
     }
     if (message.__isset.handed_over) {
         membership_.on_hand_over(message, now);
--- a/tests/ownership_failures_test.cpp
+++ b/tests/ownership_failures_test.cpp
@@ -318,7 +318,7 @@
 }
 
 // A rolling restart hangs because one instance has nobody to hand its targets to. It stops after
-// leave_limit all the same.
+// leave_timeout all the same.
 TEST(rolling_restart, leave_without_a_receiver_ends) {
     zone_of_cores zone{{"t"}};
     zone.start("a");
--- a/tests/requests_outcome_test.cpp
+++ b/tests/requests_outcome_test.cpp
@@ -226,7 +226,7 @@
     record.state = static_cast<std::int32_t>(records::request_state::waiting);
     record.content.kind = packet_kind::request;
     record.content.payload.assign(hand_over::max_record_bytes, 'x');
-    const auto parts = hand_over::split({}, {}, {record});
+    const auto parts = hand_over::split_into_parts({}, {}, {record});
     records::request_table table;
     table.restore(parts.front().requests.front(), "board-1");
     EXPECT_TRUE(table.waiting_on("board-1").empty());
