--- a/tests/configuration_status_test.cpp
+++ b/tests/configuration_status_test.cpp
@@ -1,4 +1,4 @@
-// bramleyctl: who is late with a version.
+// bramleyctl: which instances don't have a configuration version yet.
 #include <gtest/gtest.h>
 
 #include "bramleyctl/fleet_status.h"
@@ -7,8 +7,8 @@
 namespace {
 
 TEST(configuration_status, a_leaving_instance_is_not_waited_for) {
-    // An operator waits for a change while one instance is leaving and another has died but is
-    // still listed. The wait must name the dead one and not hang on the one that leaves.
+    // An operator waits for a change while one instance is leaving and another has failed but is
+    // still listed. The wait must report the failed one and must not wait for the leaving one.
     std::vector<ctl::instance_status> instances(3);
     instances[0].name = "live";
     ctl::read_status(R"({"configuration_version": 7, "targets": ["t"]})", instances[0]);
@@ -20,7 +20,7 @@
               (std::vector<std::string>{"live", "dead (unreachable)"}));
 }
 
-TEST(configuration_status, an_answer_of_another_shape_is_no_crash) {
+TEST(configuration_status, an_unexpected_response_does_not_crash) {
     ctl::instance_status status;
     ctl::read_status(R"({"configuration_version": "7", "flows": [], "targets": [1, {}]})", status);
     EXPECT_TRUE(status.is_reachable);
