--- a/libraries/hand_over/hand_overs.cpp
+++ b/libraries/hand_over/hand_overs.cpp
@@ -264,9 +264,10 @@
                                              clock::time_point now) {
     const auto& head = transfer.parts.begin()->second;
     const auto fence = now + clock::duration{head.fence_ms};
-    shared_.ownership.acquire(
-        target.name,
-        {.acquired_by = origin::handed_over, .since = now, .epoch = transfer.epoch, .fence_until = fence});
+    shared_.ownership.acquire(target.name, {.acquired_by = origin::handed_over,
+                                            .since = now,
+                                            .epoch = transfer.epoch,
+                                            .fence_until = fence});
     shared_.flows.erase_on(target.name);  // records held only as the home of the flows
     std::int64_t flows = 0;
     for (const auto& [number, part] : transfer.parts) {
--- a/tests/store_write_test.cpp
+++ b/tests/store_write_test.cpp
@@ -91,7 +91,9 @@
     // change; reporting a conflict would make the operator repeat it.
     const auto mine = with_change_log("{}", "", {"mine", "zone out north"});
     set_fault("lost", "1");
-    after_write = [&] { write_as_other(with_change_log("{}", mine, {"theirs", "target drain t"})); };
+    after_write = [&] {
+        write_as_other(with_change_log("{}", mine, {"theirs", "target drain t"}));
+    };
     EXPECT_EQ(session.compare_and_swap(key, 0, mine, "mine"),
               (outcome{written{.version = 3, .is_replaced = true}}));
 }
@@ -132,7 +134,8 @@
     std::string text = "{\n  // a comment of the operators\n}\n";
     const auto bare = text;
     for (int i = 0; i < 40; ++i) {
-        text = with_change_log(text, text, {"id" + std::to_string(i), "change\n" + std::to_string(i)});
+        text =
+            with_change_log(text, text, {"id" + std::to_string(i), "change\n" + std::to_string(i)});
     }
     const auto marks = configuration::change_log_of(text);
     ASSERT_EQ(marks.size(), configuration::max_change_log_entries);
