--- a/libraries/wire/codec.h
+++ b/libraries/wire/codec.h
@@ -1,4 +1,4 @@
-// Datagrams of the system: Thrift compact, with a SipHash tag on messages between peers.
+// Encoding of all messages: Thrift compact protocol, with a SipHash tag on messages between peers.
 //
 // Sources: Apache Thrift compact protocol; SipHash-2-4 (Aumasson, Bernstein).
 #pragma once
@@ -19,22 +19,23 @@
 // Largest UDP payload over IPv4.
 constexpr std::size_t max_datagram_size = 65507;
 
-// Longest chain of changes that is put together from parts: a whole text, compressed or not.
+// Maximum size of a configuration transfer that is reassembled from parts: it has room for the
+// complete text, compressed or not.
 constexpr std::size_t max_transfer_size = 1'100'000;
 constexpr std::size_t max_transfer_steps = 256;
 
-// What a peer holds of the store: 4,700 targets of 300 bytes and a configuration of a megabyte,
-// twice.
+// Limits of a peer's copy of the store. Its largest expected size is 4,700 targets of 300 bytes and
+// a configuration of a megabyte; the limit on the size is more than twice as much.
 constexpr std::size_t max_store_changes_size = 8'000'000;
 constexpr std::size_t max_store_records = 50'000;
 
-// Shared secret of the fleet; every instance learns it from its settings.
+// Shared secret of the fleet; every instance derives it from the passphrase in its settings.
 using fleet_key = std::array<std::uint64_t, 4>;
 
 // Derives the key from the passphrase in the settings.
 fleet_key derive_fleet_key(std::string_view passphrase);
 
-// Encodes into `buffer` and returns a view of it that the next call invalidates.
+// Encodes messages into an internal buffer. The returned view is valid until the next call.
 class encoder {
 public:
     encoder();
@@ -52,16 +53,16 @@
 
 std::variant<packet, result_code> decode_packet(std::span<const std::uint8_t> datagram);
 
-// A chain of changes; it travels in parts, so that it may be longer than a datagram.
+// A chain of configuration changes. It is sent in parts, since it may be larger than a datagram.
 std::string encode_transfer(const configuration_transfer& transfer);
 std::variant<configuration_transfer, result_code> decode_transfer(std::string_view bytes);
 
-// A peer's answer with what it holds of the store, compressed, and tagged like a datagram.
+// A peer's response with store entries, compressed, and authenticated by a tag like a datagram.
 std::string encode_store_changes(const store_changes& changes, const fleet_key& key);
 std::variant<store_changes, result_code> decode_store_changes(std::string_view bytes,
                                                               const fleet_key& key);
 
-// Checks the tag before it looks at anything else: a stranger's bytes never reach the decoder.
+// Verifies the tag first, so that unauthenticated bytes never reach the decoder.
 std::variant<peer_message, result_code> decode_peer_message(std::span<const std::uint8_t> datagram,
                                                             const fleet_key& key);
 
