--- a/libraries/settings/command_line.cpp
+++ b/libraries/settings/command_line.cpp
@@ -31,7 +31,7 @@
     auto& added = entries_.emplace_back();
     added.name = std::move(name);
     added.help = std::move(help);
-    added.number = &value;
+    added.integer = &value;
     return *this;
 }
 
@@ -39,7 +39,7 @@
     auto& added = entries_.emplace_back();
     added.name = std::move(name);
     added.help = std::move(help);
-    added.fraction = &value;
+    added.floating_point = &value;
     return *this;
 }
 
@@ -47,7 +47,7 @@
     auto& added = entries_.emplace_back();
     added.name = std::move(name);
     added.help = std::move(help);
-    added.is_set = &value;
+    added.flag = &value;
     return *this;
 }
 
@@ -59,16 +59,16 @@
         option.descrip = each.help.c_str();
         if (each.text != nullptr) {
             option.argInfo = POPT_ARG_STRING;
-            option.arg = static_cast<void*>(&each.read_text);
-        } else if (each.number != nullptr) {
+            option.arg = static_cast<void*>(&each.popt_text);
+        } else if (each.integer != nullptr) {
             option.argInfo = POPT_ARG_INT;
-            option.arg = each.number;
-        } else if (each.fraction != nullptr) {
+            option.arg = each.integer;
+        } else if (each.floating_point != nullptr) {
             option.argInfo = POPT_ARG_DOUBLE;
-            option.arg = each.fraction;
+            option.arg = each.floating_point;
         } else {
             option.argInfo = POPT_ARG_NONE;
-            option.arg = &each.read_flag;
+            option.arg = &each.popt_flag;
         }
         table.push_back(option);
     }
@@ -86,19 +86,19 @@
         std::exit(usage_exit_status);  // NOLINT(concurrency-mt-unsafe)
     }
     for (auto& each : entries_) {
-        if (each.read_text != nullptr) {
-            *each.text = each.read_text;
-            std::free(each.read_text);  // NOLINT(*-no-malloc): popt's memory
+        if (each.popt_text != nullptr) {
+            *each.text = each.popt_text;
+            std::free(each.popt_text);  // NOLINT(*-no-malloc): allocated by popt
         }
-        if (each.is_set != nullptr) {
-            *each.is_set = each.read_flag != 0;
+        if (each.flag != nullptr) {
+            *each.flag = each.popt_flag != 0;
         }
     }
-    std::vector<std::string> rest;
+    std::vector<std::string> positional;
     while (const char* argument = poptGetArg(context.get())) {
-        rest.emplace_back(argument);
+        positional.emplace_back(argument);
     }
-    return rest;
+    return positional;
 }
 
 }  // namespace bramleytrack::settings
--- a/libraries/settings/settings.cpp
+++ b/libraries/settings/settings.cpp
@@ -18,7 +18,7 @@
            text.size() > std::string_view{"https://"}.size();
 }
 
-struct key {
+struct text_key {
     std::string_view name;
     std::string instance_settings::*member;
     bool (*is_valid)(std::string_view text);
@@ -29,40 +29,40 @@
 constexpr std::string_view address_allowed = "a numeric ip:port such as 10.0.0.1:7000";
 constexpr std::string_view url_allowed = "a URL that begins with http:// or https://";
 
-constexpr std::array keys{
-    key{"name", &instance_settings::name, &is_name, name_allowed},
-    key{"zone", &instance_settings::zone, &is_name, name_allowed},
-    key{"peer_address", &instance_settings::peer_address, &configuration::is_numeric_address,
-        address_allowed},
-    key{"caller_address", &instance_settings::caller_address, &configuration::is_numeric_address,
-        address_allowed},
-    key{"target_address", &instance_settings::target_address, &configuration::is_numeric_address,
-        address_allowed},
-    key{"admin_address", &instance_settings::admin_address, &configuration::is_numeric_address,
-        address_allowed},
-    key{"store_address", &instance_settings::store_address, &configuration::is_numeric_address,
-        address_allowed},
-    key{"instance_list_url", &instance_settings::instance_list_url, &is_url, url_allowed},
-    key{"fleet_passphrase", &instance_settings::fleet_passphrase, &is_passphrase,
-        "a text of at least 12 characters"},
+constexpr std::array text_keys{
+    text_key{"name", &instance_settings::name, &is_name, name_allowed},
+    text_key{"zone", &instance_settings::zone, &is_name, name_allowed},
+    text_key{"peer_address", &instance_settings::peer_address, &configuration::is_numeric_address,
+             address_allowed},
+    text_key{"caller_address", &instance_settings::caller_address,
+             &configuration::is_numeric_address, address_allowed},
+    text_key{"target_address", &instance_settings::target_address,
+             &configuration::is_numeric_address, address_allowed},
+    text_key{"admin_address", &instance_settings::admin_address, &configuration::is_numeric_address,
+             address_allowed},
+    text_key{"store_address", &instance_settings::store_address, &configuration::is_numeric_address,
+             address_allowed},
+    text_key{"instance_list_url", &instance_settings::instance_list_url, &is_url, url_allowed},
+    text_key{"fleet_passphrase", &instance_settings::fleet_passphrase, &is_passphrase,
+             "a text of at least 12 characters"},
 };
 
 std::vector<fault> read_keys(const json& root, instance_settings& result) {
     std::vector<fault> faults;
-    for (const auto& each : keys) {
+    for (const auto& each : text_keys) {
         const std::string name{each.name};
-        const bool is_text = root.contains(name) && root[name].is_string() &&
-                             !root[name].get_ref<const std::string&>().empty();
-        if (is_text && each.is_valid(root[name].get_ref<const std::string&>())) {
+        const bool is_non_empty_text = root.contains(name) && root[name].is_string() &&
+                                       !root[name].get_ref<const std::string&>().empty();
+        if (is_non_empty_text && each.is_valid(root[name].get_ref<const std::string&>())) {
             result.*each.member = root[name].get<std::string>();
         } else {
             const bool is_secret = each.member == &instance_settings::fleet_passphrase;
-            faults.push_back(expected(root, each.name, each.allowed,
-                                      is_secret ? value_kind::secret : value_kind::plain));
+            faults.push_back(invalid_value(root, each.name, each.allowed,
+                                           is_secret ? value_kind::secret : value_kind::plain));
         }
     }
     std::vector<std::string_view> names;
-    std::ranges::transform(keys, std::back_inserter(names), &key::name);
+    std::ranges::transform(text_keys, std::back_inserter(names), &text_key::name);
     std::ranges::move(unknown_keys(root, names), std::back_inserter(faults));
     return faults;
 }
--- a/libraries/settings/settings.h
+++ b/libraries/settings/settings.h
@@ -1,4 +1,4 @@
-// Settings of one instance: JSON with comments, read once at the start.
+// Settings of one instance: JSON with comments, read once at startup.
 #pragma once
 
 #include <string>
@@ -13,18 +13,18 @@
 struct instance_settings {
     std::string name;
     std::string zone;
-    std::string peer_address;       // UDP, other instances
-    std::string caller_address;     // UDP, the fabric
-    std::string target_address;     // UDP, targets answer to it
+    std::string peer_address;       // UDP, messages from other instances
+    std::string caller_address;     // UDP, callers' packets from the fabric
+    std::string target_address;     // UDP, targets' responses
     std::string admin_address;      // HTTP: /metrics, /status
-    std::string store_address;      // the platform's store
+    std::string store_address;      // ip:port of the platform's store
     std::string instance_list_url;  // the platform's list of instances
     std::string fleet_passphrase;   // authenticates peers
 };
 
 using settings_result = std::variant<instance_settings, std::vector<configuration::fault>>;
 
-// Names every fault of the text in one pass.
+// Returns all faults of the text at once, so that an operator can correct them in one pass.
 settings_result parse_settings(std::string_view text);
 
 }  // namespace bramleytrack::settings
--- a/libraries/settings/settings_text.cpp
+++ b/libraries/settings/settings_text.cpp
@@ -14,9 +14,9 @@
 constexpr std::size_t max_settings_size = 65'536;
 constexpr std::size_t max_name_length = 64;
 constexpr std::size_t min_passphrase_length = 12;
-constexpr std::size_t max_shown_value = 80;
+constexpr std::size_t max_displayed_length = 80;
 
-std::string shown(const json& root, std::string_view name, value_kind kind) {
+std::string describe_value(const json& root, std::string_view name, value_kind kind) {
     const auto found = root.find(name);
     if (found == root.end()) {
         return "nothing";
@@ -24,17 +24,18 @@
     if (kind == value_kind::secret) {
         return "another";
     }
-    // Text that isn't UTF-8 must not end the program while its fault is being reported.
+    // By default dump() throws on text that isn't UTF-8, which would terminate the program while it
+    // reports the fault.
     auto text = found->dump(-1, ' ', true, json::error_handler_t::replace);
-    if (text.size() > max_shown_value) {
-        text = text.substr(0, max_shown_value) + "...";
+    if (text.size() > max_displayed_length) {
+        text = text.substr(0, max_displayed_length) + "...";
     }
     return text;
 }
 
 }  // namespace
 
-std::vector<fault> read_settings_text(std::string_view text, const keys_reader& read_keys) {
+std::vector<fault> read_settings_text(std::string_view text, const key_reader& read_keys) {
     if (text.size() > max_settings_size) {
         return {{.line = 0, .path = "", .message = "settings are at most 65536 bytes"}};
     }
@@ -55,22 +56,24 @@
     return faults;
 }
 
-std::vector<fault> unknown_keys(const json& root, std::span<const std::string_view> known) {
+std::vector<fault> unknown_keys(const json& root, std::span<const std::string_view> known_keys) {
     std::vector<fault> faults;
     for (const auto& [name, value] : root.items()) {
-        if (std::ranges::find(known, name) == known.end()) {
+        if (std::ranges::find(known_keys, name) == known_keys.end()) {
             faults.push_back({.line = 0,
                               .path = "/" + name,
-                              .message = configuration::unknown_key(name, known)});
+                              .message = configuration::unknown_key(name, known_keys)});
         }
     }
     return faults;
 }
 
-fault expected(const json& root, std::string_view name, std::string_view allowed, value_kind kind) {
+fault invalid_value(const json& root, std::string_view name, std::string_view allowed,
+                    value_kind kind) {
     return {.line = 0,
             .path = "/" + std::string{name},
-            .message = "expected " + std::string{allowed} + ", found " + shown(root, name, kind)};
+            .message =
+                "expected " + std::string{allowed} + ", found " + describe_value(root, name, kind)};
 }
 
 bool is_name(std::string_view text) {
--- a/libraries/settings/settings_text.h
+++ b/libraries/settings/settings_text.h
@@ -1,4 +1,5 @@
-// What all settings have in common: JSON with comments, checked whole, each fault with its line.
+// Shared parts of all settings parsers: JSON with comments, where all faults are reported at once,
+// each with its line.
 #pragma once
 
 #include <functional>
@@ -11,30 +12,32 @@
 
 namespace bramleytrack::settings {
 
-// Reads the keys of one kind of settings and returns their faults, without lines.
-using keys_reader = std::function<std::vector<configuration::fault>(const nlohmann::json& root)>;
+// Reads the keys of one kind of settings and returns their faults, without line numbers.
+using key_reader = std::function<std::vector<configuration::fault>(const nlohmann::json& root)>;
 
-// All faults of the text, in the order of its lines; empty when `read_keys` has read valid
-// settings.
+// Parses `text` and calls `read_keys` on the result. Returns all faults in the order of their
+// lines; empty when the settings are valid.
 std::vector<configuration::fault> read_settings_text(std::string_view text,
-                                                     const keys_reader& read_keys);
+                                                     const key_reader& read_keys);
 
-// A fault for each key of `root` that isn't among `known`.
+// Returns a fault for each key of `root` that isn't in `known_keys`.
 std::vector<configuration::fault> unknown_keys(const nlohmann::json& root,
-                                               std::span<const std::string_view> known);
+                                               std::span<const std::string_view> known_keys);
 
-// Whether a key's value may be shown to whoever reads its fault: messages end up in logs.
+// Whether a fault's message may contain the value of its key. Messages are written to logs, so the
+// value of a secret must not be part of them.
 enum class value_kind { plain, secret };
 
-// The fault of a key whose value is missing or isn't what is allowed, with what was found.
-configuration::fault expected(const nlohmann::json& root, std::string_view name,
-                              std::string_view allowed, value_kind kind = value_kind::plain);
+// Returns the fault for a key whose value is missing or not allowed, with the value that was found.
+configuration::fault invalid_value(const nlohmann::json& root, std::string_view name,
+                                   std::string_view allowed, value_kind kind = value_kind::plain);
 
-// A name of an instance or zone: not empty, at most 64 characters, none that a log line would
-// quote.
+// True for a valid name of an instance or zone: 1 to 64 characters, none of which a log line would
+// have to quote.
 bool is_name(std::string_view text);
 
-// Shorter ones can be tried out by a stranger who has seen one datagram.
+// Requires a minimum length: an attacker who has captured one datagram can find a shorter
+// passphrase by brute force.
 bool is_passphrase(std::string_view text);
 
 }  // namespace bramleytrack::settings
--- a/libraries/settings/steering_settings.cpp
+++ b/libraries/settings/steering_settings.cpp
@@ -14,7 +14,7 @@
 using nlohmann::json;
 
 constexpr double milliseconds_per_second = 1000.0;
-constexpr double longest_seconds = 3600.0;
+constexpr double max_seconds = 3600.0;
 
 struct text_key {
     std::string_view name;
@@ -50,7 +50,7 @@
 struct optional_address {
     std::string_view name;
     std::string steering_settings::*member;
-    std::string steering_settings::*otherwise;  // holds when the key is missing
+    std::string steering_settings::*fallback;  // used when the key is missing
 };
 
 constexpr std::array optional_addresses{
@@ -72,6 +72,7 @@
 
 constexpr std::string_view seeds_key = "seeds";
 constexpr std::string_view zones_key = "zones";
+
 bool read_zones(const json& root, steering_settings& result) {
     const auto found = root.find(zones_key);
     if (found == root.end() || !found->is_object()) {
@@ -114,13 +115,13 @@
             result.*each.member = found->get<std::string>();
         } else {
             const bool is_secret = each.name == passphrase_key;
-            faults.push_back(expected(root, each.name, each.allowed,
-                                      is_secret ? value_kind::secret : value_kind::plain));
+            faults.push_back(invalid_value(root, each.name, each.allowed,
+                                           is_secret ? value_kind::secret : value_kind::plain));
         }
     }
     for (const auto& each : optional_addresses) {
         names.push_back(each.name);
-        result.*each.member = result.*each.otherwise;
+        result.*each.member = result.*each.fallback;
         const auto found = root.find(each.name);
         if (found == root.end()) {
             continue;
@@ -130,7 +131,7 @@
         if (is_valid) {
             result.*each.member = found->get<std::string>();
         } else {
-            faults.push_back(expected(root, each.name, address_allowed));
+            faults.push_back(invalid_value(root, each.name, address_allowed));
         }
     }
     for (const auto& each : seconds_keys) {
@@ -138,21 +139,22 @@
         const auto found = root.find(each.name);
         const bool is_number = found != root.end() && found->is_number();
         const double seconds = is_number ? found->get<double>() : 0;
-        if (seconds > 0 && seconds <= longest_seconds) {
+        if (seconds > 0 && seconds <= max_seconds) {
             result.*each.member = clock::duration{std::llround(seconds * milliseconds_per_second)};
         } else {
             faults.push_back(
-                expected(root, each.name, "a number of seconds above 0, at most 3600"));
+                invalid_value(root, each.name, "a number of seconds above 0, at most 3600"));
         }
     }
     names.emplace_back(zones_key);
     if (!read_zones(root, result)) {
-        faults.push_back(expected(root, zones_key, "an object that names the region of each zone"));
+        faults.push_back(
+            invalid_value(root, zones_key, "an object that names the region of each zone"));
     }
     names.emplace_back(seeds_key);
     if (!read_seeds(root, result)) {
         faults.push_back(
-            expected(root, seeds_key, "a list of numeric ip:port, which may be empty"));
+            invalid_value(root, seeds_key, "a list of numeric ip:port, which may be empty"));
     }
     for (const auto& [name, value] : root.items()) {
         if (std::ranges::find(names, name) == names.end()) {
