--- a/services/bramleyctl/explain.cpp
+++ b/services/bramleyctl/explain.cpp
@@ -5,7 +5,7 @@
 #include <iostream>
 #include <vector>
 
-#include "flow_story.h"
+#include "flow_timeline.h"
 
 namespace bramleytrack::ctl {
 namespace {
@@ -14,10 +14,10 @@
 constexpr int unreadable_status = 3;
 constexpr int not_found_status = 6;
 
-void read_records(std::istream& from, std::vector<log_record>& to) {
-    for (std::string line; std::getline(from, line);) {
+void read_records(std::istream& input, std::vector<log_record>& records) {
+    for (std::string line; std::getline(input, line);) {
         if (auto record = parse_log_line(line)) {
-            to.push_back(std::move(*record));
+            records.push_back(std::move(*record));
         }
     }
 }
@@ -41,9 +41,9 @@
     if (arguments.size() == 2) {
         read_records(std::cin, records);
     }
-    const auto story = tell_story(records, arguments[1]);
-    std::printf("%s", (options.is_json ? to_json(story) + "\n" : to_text(story)).c_str());
-    return story.steps.empty() ? not_found_status : 0;
+    const auto timeline = build_timeline(records, arguments[1]);
+    std::printf("%s", (options.is_json ? to_json(timeline) + "\n" : to_text(timeline)).c_str());
+    return timeline.steps.empty() ? not_found_status : 0;
 }
 
 }  // namespace bramleytrack::ctl
--- a/services/bramleyctl/explain.h
+++ b/services/bramleyctl/explain.h
@@ -1,4 +1,4 @@
-// bramleyctl explain CALLER [LOG...]: what became of a flow, from the logs of the instances.
+// bramleyctl explain CALLER [LOG...]: reconstructs the history of a flow from instance logs.
 #pragma once
 
 #include <span>
@@ -8,8 +8,8 @@
 
 namespace bramleytrack::ctl {
 
-// `arguments` begin with "explain". Reads standard input when no file is named. Returns the exit
-// status: 0 when the flow was found, 6 when no line names its caller.
+// `arguments[0]` is "explain". Reads standard input when no file is named. Returns the exit status:
+// 0 when the flow was found, 6 when no log line names its caller.
 int explain(const options& options, std::span<const std::string> arguments);
 
 }  // namespace bramleytrack::ctl
--- /dev/null
+++ b/services/bramleyctl/flow_timeline.h
@@ -0,0 +1,37 @@
+// Reconstructs the timeline of one flow from the logs of the instances that handled its packets.
+//
+// The lines may come from several instances, in any order, and may be incomplete: instances omit
+// lines under load and log how many. The timeline lists these as possible gaps.
+#pragma once
+
+#include <span>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "log_record.h"
+
+namespace bramleytrack::ctl {
+
+struct timeline_step {
+    std::int64_t timestamp_ms = 0;
+    std::string instance;
+    std::string text;
+};
+
+struct flow_timeline {
+    std::string caller;
+    std::vector<timeline_step> steps;    // events of the flow itself, by time
+    std::vector<timeline_step> context;  // events of its instances and targets near that time
+    std::string outcome;  // a result code's name, "late", "unanswered", "no_fault" or "not_found"
+    std::string cause;    // one or two sentences
+    std::vector<std::string> gaps;  // log lines that are known to be missing
+};
+
+// `caller` is the ip:port of the flow's caller, as it appears in the log lines.
+flow_timeline build_timeline(std::span<const log_record> records, std::string_view caller);
+
+std::string to_text(const flow_timeline& timeline);
+std::string to_json(const flow_timeline& timeline);
+
+}  // namespace bramleytrack::ctl
--- a/services/bramleyctl/log_record.cpp
+++ b/services/bramleyctl/log_record.cpp
@@ -7,8 +7,8 @@
 namespace bramleytrack::ctl {
 namespace {
 
-// Takes the next key=value pair off the front; false when there is none or it is cut off.
-bool take_pair(std::string_view& rest, std::string& key, std::string& value) {
+// Consumes the next key=value pair. Returns false when there is none or it is truncated.
+bool parse_pair(std::string_view& rest, std::string& key, std::string& value) {
     rest.remove_prefix(std::min(rest.find_first_not_of(' '), rest.size()));
     const auto equals = rest.find('=');
     if (equals == std::string_view::npos ||
@@ -35,7 +35,7 @@
     return false;
 }
 
-// 2026-12-03T01:15:49.123, taken as UTC.
+// Parses a time such as 2026-12-03T01:15:49.123 as UTC.
 std::optional<std::int64_t> parse_time(const std::string& text) {
     int year = 0;
     int month = 0;
@@ -44,10 +44,11 @@
     int minute = 0;
     int second = 0;
     int millisecond = 0;
-    constexpr int fields = 7;
-    // NOLINTNEXTLINE(cert-err34-c): a field that is no number makes the count fall short
+    constexpr int field_count = 7;
+    // NOLINTNEXTLINE(cert-err34-c): a field that is not a number lowers the count of converted
+    // fields
     if (std::sscanf(text.c_str(), "%d-%d-%dT%d:%d:%d.%d", &year, &month, &day, &hour, &minute,
-                    &second, &millisecond) != fields) {
+                    &second, &millisecond) != field_count) {
         return std::nullopt;
     }
     using namespace std::chrono;
@@ -83,16 +84,16 @@
     log_record result;
     std::string key;
     std::string value;
-    while (take_pair(rest, key, value)) {
+    while (parse_pair(rest, key, value)) {
         result.fields[key] = value;
     }
-    const auto at = parse_time(std::string{result.text("time")});
+    const auto timestamp_ms = parse_time(std::string{result.text("time")});
     result.instance = result.text("process");
     result.event = result.text("event");
-    if (!at || result.instance.empty() || result.event.empty()) {
+    if (!timestamp_ms || result.instance.empty() || result.event.empty()) {
         return std::nullopt;
     }
-    result.at = *at;
+    result.timestamp_ms = *timestamp_ms;
     return result;
 }
 
