--- a/services/bramleyctl/commands.cpp
+++ b/services/bramleyctl/commands.cpp
@@ -23,19 +23,19 @@
 using json = nlohmann::ordered_json;
 
 enum class exit_status {
-    done = 0,
+    success = 0,
     usage = 2,
-    refused = 3,
+    rejected = 3,
     conflict = 4,
     unavailable = 5,
-    waiting = 6
+    not_in_force = 6  // some instance does not apply the version yet
 };
 
-int finish(exit_status status) {
+int exit_code(exit_status status) {
     return static_cast<int>(status);
 }
 
-exit_status exit_status_of(result_code code) {
+exit_status to_exit_status(result_code code) {
     switch (code) {
         case result_code::version_conflict:
             return exit_status::conflict;
@@ -43,15 +43,15 @@
         case result_code::write_in_doubt:
             return exit_status::unavailable;
         default:
-            return exit_status::refused;
+            return exit_status::rejected;
     }
 }
 
-int fail(result_code code, std::string_view detail) {
+int report_error(result_code code, std::string_view detail) {
     std::fprintf(stderr, "bramleyctl: %d %s: %.*s\n", static_cast<int>(code),
                  std::string{name_of(code)}.c_str(), static_cast<int>(detail.size()),
                  detail.data());
-    return finish(exit_status_of(code));
+    return exit_code(to_exit_status(code));
 }
 
 void print_faults(std::string_view source, std::span<const configuration::fault> faults) {
@@ -60,13 +60,13 @@
     }
 }
 
-// The operators' text as it stands in the store; version 0 when there is none yet.
+// The configuration text that the store holds; version 0 when the key does not exist yet.
 struct stored_text {
     std::int64_t version = 0;
     std::string value;
 };
 
-// One command line on the store.
+// Executes one command line against the store.
 class command {
 public:
     command(const options& options, std::span<const std::string> arguments)
@@ -80,24 +80,25 @@
             return *status;
         }
         std::printf("%s: valid\n", argument(1).c_str());
-        return finish(exit_status::done);
+        return exit_code(exit_status::success);
     }
 
     int apply() {
         const auto text = read_file(argument(1));
         if (!text) {
-            return fail(result_code::usage, "can't read \"" + argument(1) + "\"");
+            return report_error(result_code::usage, "can't read \"" + argument(1) + "\"");
         }
         const auto current = read_text();
         if (!current) {
-            return fail(result_code::store_unavailable, "the store did not answer");
+            return report_error(result_code::store_unavailable, "the store did not answer");
         }
         const auto& before = *current;
-        // Failure: an operator applies a file that was taken from the store before a colleague's
-        // change, and silently undoes it. The trail that the file still carries gives it away.
-        const auto missed = configuration::changes_between(*text, before.value);
-        if (!configuration::trail_of(*text).empty() && !missed.empty()) {
-            return report_conflict(missed);
+        // A file that was exported before a colleague's change would silently revert that change
+        // when it is applied. The change trail that the file still contains shows which changes it
+        // predates, so the command reports a conflict instead.
+        const auto conflicting_changes = configuration::changes_between(*text, before.value);
+        if (!configuration::trail_of(*text).empty() && !conflicting_changes.empty()) {
+            return report_conflict(conflicting_changes);
         }
         return write(*text, before, "apply " + argument(1));
     }
@@ -109,7 +110,7 @@
         }
         const auto current = read_text();
         if (!current) {
-            return fail(result_code::store_unavailable, "the store did not answer");
+            return report_error(result_code::store_unavailable, "the store did not answer");
         }
         const auto lines =
             differences_from(current->value, std::get<configuration::configuration>(checked));
@@ -119,13 +120,13 @@
         } else {
             print_lines(lines);
         }
-        return finish(exit_status::done);
+        return exit_code(exit_status::success);
     }
 
     int show() {
         const auto found = read_text();
         if (!found || found->version == 0) {
-            return fail(result_code::store_unavailable, "no configuration could be read");
+            return report_error(result_code::store_unavailable, "no configuration could be read");
         }
         if (options_.is_json) {
             std::printf("%s\n",
@@ -134,7 +135,7 @@
             std::printf("// version %lld\n%s\n", static_cast<long long>(found->version),
                         found->value.c_str());
         }
-        return finish(exit_status::done);
+        return exit_code(exit_status::success);
     }
 
     // zone out|in NAME, target drain|undrain NAME, instance retire NAME.
@@ -153,27 +154,28 @@
             change{"instance", "retire", "instances", "retired"},
             change{"instance", "restore", "instances", "active"},
         };
-        const auto* wanted = std::ranges::find_if(changes, [this](const change& each) {
+        const auto* requested = std::ranges::find_if(changes, [this](const change& each) {
             return each.kind == argument(0) && each.verb == argument(1);
         });
-        if (wanted == changes.end() || argument(2).empty()) {
-            return fail(result_code::usage, "see bramleyctl --help");
+        if (requested == changes.end() || argument(2).empty()) {
+            return report_error(result_code::usage, "see bramleyctl --help");
         }
-        // A colleague's change that comes first is kept: this one is made again on top of it.
+        // If a concurrent change is written first, this one is applied again on top of it.
         constexpr int max_attempts = 10;
         for (int attempt = 1;; ++attempt) {
             const auto found = read_text();
             if (!found || found->version == 0) {
-                return fail(result_code::store_unavailable, "no configuration could be read");
+                return report_error(result_code::store_unavailable,
+                                    "no configuration could be read");
             }
             auto root = json::parse(found->value, nullptr, false, true);
-            if (!set_state(root, wanted->list, argument(2), wanted->state)) {
-                return fail(result_code::unknown_name,
-                            "there is no " + argument(0) + " \"" + argument(2) + "\"");
+            if (!set_state(root, requested->list, argument(2), requested->state)) {
+                return report_error(result_code::unknown_name,
+                                    "there is no " + argument(0) + " \"" + argument(2) + "\"");
             }
             const auto status =
                 write(root.dump(1), *found, argument(0) + " " + argument(1) + " " + argument(2));
-            if (status != finish(exit_status::conflict) || attempt == max_attempts) {
+            if (status != exit_code(exit_status::conflict) || attempt == max_attempts) {
                 return status;
             }
         }
@@ -181,39 +183,41 @@
 
     int status() {
         const auto current = read_text();
-        const bool is_known = current.has_value();
-        if (!is_known) {
-            fail(result_code::store_unavailable, "the store's version is not known");
+        const bool is_store_reachable = current.has_value();
+        if (!is_store_reachable) {
+            report_error(result_code::store_unavailable,
+                         "the store did not answer; its version is unknown");
         }
-        const auto version = is_known ? current->version : 0;
-        const auto shown = options_.is_waiting ? wait_until_everywhere(version)
-                                               : show_instances(version, std::nullopt);
-        return is_known ? shown : finish(exit_status::unavailable);
+        const auto version = is_store_reachable ? current->version : 0;
+        const auto rollout_status = options_.should_wait ? wait_for_rollout(version)
+                                                         : show_instances(version, std::nullopt);
+        return is_store_reachable ? rollout_status : exit_code(exit_status::unavailable);
     }
 
 private:
-    // Nothing when the store didn't answer.
+    // Returns nothing when the store did not answer.
     std::optional<stored_text> read_text() {
-        const auto answer = session_.read(configuration::store_key);
-        const auto* part = std::get_if<store::lookup_result>(&answer);
-        if (part == nullptr) {
+        const auto response = session_.read(configuration::store_key);
+        const auto* lookup = std::get_if<store::lookup_result>(&response);
+        if (lookup == nullptr) {
             return std::nullopt;
         }
-        return part->content
-                   ? stored_text{.version = part->content->revision, .value = part->content->value}
-                   : stored_text{};
+        return lookup->content ? stored_text{.version = lookup->content->revision,
+                                             .value = lookup->content->value}
+                               : stored_text{};
     }
 
-    // The file that the command line names, or the exit status once its faults are printed.
+    // Parses the file named on the command line. Prints its faults and returns the exit status when
+    // it is invalid.
     std::variant<configuration::configuration, int> read_checked_file() const {
         const auto text = read_file(argument(1));
         if (!text) {
-            return fail(result_code::usage, "can't read \"" + argument(1) + "\"");
+            return report_error(result_code::usage, "can't read \"" + argument(1) + "\"");
         }
         auto parsed = configuration::parse_configuration(*text, 1);
         if (const auto* faults = std::get_if<std::vector<configuration::fault>>(&parsed)) {
             print_faults(argument(1), *faults);
-            return finish(exit_status::refused);
+            return exit_code(exit_status::rejected);
         }
         return std::get<configuration::configuration>(std::move(parsed));
     }
@@ -233,7 +237,8 @@
         if (std::string_view{list} != "instances") {
             return false;
         }
-        // Instances come from the platform's list; the text names only those with a state.
+        // The platform's list defines the instances. The configuration only has an entry for those
+        // whose state was set.
         root[list].push_back({{"name", name}, {"state", state}});
         return true;
     }
@@ -252,23 +257,23 @@
         }
     }
 
-    static int report_conflict(std::span<const configuration::change_mark> missed) {
-        const int status = fail(result_code::version_conflict,
-                                "nothing was written; changed by others meanwhile:");
-        for (const auto& each : missed) {
+    static int report_conflict(std::span<const configuration::change_mark> conflicting_changes) {
+        const int status = report_error(result_code::version_conflict,
+                                        "nothing was written; changed by others in the meantime:");
+        for (const auto& each : conflicting_changes) {
             std::fprintf(stderr, "  %s\n", each.description.c_str());
         }
         return status;
     }
 
-    // Each attempt gets an identity of its own, so that it can be found again in the trail.
+    // Each attempt gets a unique id, by which it can be found in the change trail later.
     static std::string new_change_id() {
         std::random_device source;
         const auto high = static_cast<std::uint64_t>(source());
-        constexpr int bits_of_half = 32;
+        constexpr int half_bits = 32;
         std::string id(16, '0');
         std::snprintf(id.data(), id.size() + 1, "%016llx",
-                      static_cast<unsigned long long>((high << bits_of_half) | source()));
+                      static_cast<unsigned long long>((high << half_bits) | source()));
         return id;
     }
 
@@ -278,79 +283,82 @@
         const auto parsed = configuration::parse_configuration(marked, before.version + 1);
         if (const auto* faults = std::get_if<std::vector<configuration::fault>>(&parsed)) {
             print_faults("configuration", *faults);
-            return finish(exit_status::refused);
+            return exit_code(exit_status::rejected);
         }
         const auto lines =
             differences_from(before.value, std::get<configuration::configuration>(parsed));
         const auto result =
             session_.compare_and_swap(configuration::store_key, before.version, marked, mark.id);
-        if (result == std::variant<written, result_code>{result_code::version_conflict}) {
-            const auto now = read_text();
+        if (result == std::variant<write_result, result_code>{result_code::version_conflict}) {
+            const auto current = read_text();
             return report_conflict(configuration::changes_between(
-                before.value, now ? std::string_view{now->value} : std::string_view{}));
+                before.value, current ? std::string_view{current->value} : std::string_view{}));
         }
         if (const auto* code = std::get_if<result_code>(&result)) {
-            return fail(*code, R"(the store stayed silent; "bramleyctl show" tells whether ")" +
-                                   mark.id + "\" is in effect");
+            return report_error(
+                *code,
+                R"(the store was silent until the timeout; "bramleyctl show" shows whether change ")" +
+                    mark.id + "\" is in effect");
         }
-        const auto& done = std::get<written>(result);
+        const auto& written = std::get<write_result>(result);
         if (options_.is_json) {
-            std::printf("%s\n", json{{"version", done.version},
-                                     {"is_replaced", done.is_replaced},
+            std::printf("%s\n", json{{"version", written.version},
+                                     {"is_replaced", written.is_replaced},
                                      {"differences", lines}}
                                     .dump()
                                     .c_str());
         } else {
             print_lines(lines);
-            std::printf("version %lld%s\n", static_cast<long long>(done.version),
-                        done.is_replaced ? " (in effect, and changed by others since)" : "");
+            std::printf("version %lld%s\n", static_cast<long long>(written.version),
+                        written.is_replaced ? " (in effect, and changed by others since)" : "");
         }
-        return options_.is_waiting ? wait_until_everywhere(done.version)
-                                   : finish(exit_status::done);
+        return options_.should_wait ? wait_for_rollout(written.version)
+                                    : exit_code(exit_status::success);
     }
 
-    // Prints what the instances say, and how long it took when they were waited for.
-    int show_instances(std::int64_t version, std::optional<clock::duration> waited) {
-        const auto instances = ask_instances(session_, options_.instance_list_url);
+    // Prints the status of all instances, with the elapsed time if the command waited for them.
+    int show_instances(std::int64_t version, std::optional<clock::duration> wait_duration) {
+        const auto instances = query_instances(session_, options_.instance_list_url);
         if (!instances) {
-            return fail(result_code::store_unavailable, "the instance list did not answer");
+            return report_error(result_code::store_unavailable, "the instance list did not answer");
         }
-        const auto late = late_instances(*instances, version);
+        const auto outdated = outdated_instances(*instances, version);
         if (options_.is_json) {
-            json root{{"version", version}, {"late", late}, {"instances", to_json(*instances)}};
-            if (waited) {
-                root["waited_ms"] = waited->count();
+            json root{{"version", version}, {"late", outdated}, {"instances", to_json(*instances)}};
+            if (wait_duration) {
+                root["waited_ms"] = wait_duration->count();
             }
             std::printf("%s\n", root.dump().c_str());
-            return finish(late.empty() ? exit_status::done : exit_status::waiting);
+            return exit_code(outdated.empty() ? exit_status::success : exit_status::not_in_force);
         }
         std::printf("%s", to_table(*instances).c_str());
-        const auto until = waited ? " after " + std::to_string(waited->count()) + " ms" : "";
-        if (late.empty()) {
+        const auto elapsed =
+            wait_duration ? " after " + std::to_string(wait_duration->count()) + " ms" : "";
+        if (outdated.empty()) {
             std::printf("version %lld is in force on all instances%s\n",
-                        static_cast<long long>(version), until.c_str());
-            return finish(exit_status::done);
+                        static_cast<long long>(version), elapsed.c_str());
+            return exit_code(exit_status::success);
         }
         std::printf("version %lld is not in force%s on:", static_cast<long long>(version),
-                    until.c_str());
-        for (const auto& each : late) {
+                    elapsed.c_str());
+        for (const auto& each : outdated) {
             std::printf(" %s", each.c_str());
         }
         std::printf("\n");
-        return finish(exit_status::waiting);
+        return exit_code(exit_status::not_in_force);
     }
 
-    int wait_until_everywhere(std::int64_t version) {
-        const auto begin = clock::now();
-        const auto deadline = begin + clock::duration{options_.timeout_ms};
+    int wait_for_rollout(std::int64_t version) {
+        const auto start = clock::now();
+        const auto deadline = start + clock::duration{options_.timeout_ms};
         while (true) {
-            const auto instances = ask_instances(session_, options_.instance_list_url);
-            const bool is_everywhere = instances && late_instances(*instances, version).empty();
-            if (is_everywhere || clock::now() >= deadline) {
-                return show_instances(version, clock::now() - begin);
+            const auto instances = query_instances(session_, options_.instance_list_url);
+            const bool is_rolled_out = instances && outdated_instances(*instances, version).empty();
+            if (is_rolled_out || clock::now() >= deadline) {
+                return show_instances(version, clock::now() - start);
             }
-            constexpr std::chrono::milliseconds pause{200};
-            std::this_thread::sleep_for(pause);
+            constexpr std::chrono::milliseconds poll_interval{200};
+            std::this_thread::sleep_for(poll_interval);
         }
     }
 
@@ -364,9 +372,9 @@
 int run(const options& options, std::span<const std::string> arguments) {
     struct entry {
         std::string_view name;
-        int (command::*handle)();
+        int (command::*handler)();
     };
-    static constexpr std::array table{
+    static constexpr std::array commands{
         entry{"check", &command::check},         entry{"apply", &command::apply},
         entry{"diff", &command::diff},           entry{"show", &command::show},
         entry{"status", &command::status},       entry{"zone", &command::change_state},
@@ -379,13 +387,14 @@
     if (name == "overview") {
         return overview(options, arguments);
     }
-    const auto* found = std::ranges::find(table, name, &entry::name);
-    if (found == table.end()) {
-        fail(result_code::usage, "unknown command \"" + std::string{name} + "\"; see --help");
-        return finish(exit_status::usage);
+    const auto* found = std::ranges::find(commands, name, &entry::name);
+    if (found == commands.end()) {
+        report_error(result_code::usage,
+                     "unknown command \"" + std::string{name} + "\"; see --help");
+        return exit_code(exit_status::usage);
     }
-    command current{options, arguments};
-    return (current.*found->handle)();
+    command invocation{options, arguments};
+    return (invocation.*found->handler)();
 }
 
 }  // namespace bramleytrack::ctl
--- a/services/bramleyctl/commands.h
+++ b/services/bramleyctl/commands.h
@@ -1,4 +1,4 @@
-// The operator's commands on the configuration in the platform's store.
+// Operator commands that read and change the configuration in the platform's store.
 #pragma once
 
 #include <functional>
@@ -15,7 +15,7 @@
     std::string store_address;
     std::string instance_list_url;
     bool is_json = false;
-    bool is_waiting = false;
+    bool should_wait = false;
     int timeout_ms = 10'000;
 };
 
--- a/services/bramleyctl/fleet_status.cpp
+++ b/services/bramleyctl/fleet_status.cpp
@@ -10,33 +10,33 @@
 
 constexpr int http_ok = 200;
 
-std::int64_t number_at(const nlohmann::json& root, const char* key) {
+std::int64_t integer_or_zero(const nlohmann::json& root, const char* key) {
     return root.contains(key) && root[key].is_number_integer() ? root[key].get<std::int64_t>() : 0;
 }
 
 }  // namespace
 
-void read_status(std::string_view body, instance_status& into) {
+void parse_status(std::string_view body, instance_status& status) {
     const auto root = nlohmann::json::parse(body, nullptr, false);
     if (!root.is_object()) {
         return;
     }
-    into.is_reachable = true;
-    into.incarnation = number_at(root, "incarnation");
-    into.version = number_at(root, "configuration_version");
-    into.flows = number_at(root, "flows");
+    status.is_reachable = true;
+    status.incarnation = integer_or_zero(root, "incarnation");
+    status.version = integer_or_zero(root, "configuration_version");
+    status.flows = integer_or_zero(root, "flows");
     if (!root.contains("targets") || !root["targets"].is_array()) {
         return;
     }
     for (const auto& each : root["targets"]) {
         if (each.is_string()) {
-            into.targets.push_back(each.get<std::string>());
+            status.targets.push_back(each.get<std::string>());
         }
     }
 }
 
-std::optional<std::vector<instance_status>> ask_instances(store_session& session,
-                                                          const std::string& list_url) {
+std::optional<std::vector<instance_status>> query_instances(store_session& session,
+                                                            const std::string& list_url) {
     const auto list = session.get(list_url);
     if (list.status != http_ok) {
         return std::nullopt;
@@ -47,21 +47,21 @@
         status.name = each.name;
         status.zone = each.zone;
         status.is_leaving = each.is_leaving;
-        read_status(session.get("http://" + each.admin_address + "/status").body, status);
+        parse_status(session.get("http://" + each.admin_address + "/status").body, status);
         result.push_back(std::move(status));
     }
     return result;
 }
 
-std::vector<std::string> late_instances(const std::vector<instance_status>& instances,
-                                        std::int64_t version) {
-    std::vector<std::string> late;
+std::vector<std::string> outdated_instances(const std::vector<instance_status>& instances,
+                                            std::int64_t version) {
+    std::vector<std::string> outdated;
     for (const auto& each : instances) {
         if (!each.is_leaving && each.version < version) {
-            late.push_back(each.is_reachable ? each.name : each.name + " (unreachable)");
+            outdated.push_back(each.is_reachable ? each.name : each.name + " (unreachable)");
         }
     }
-    return late;
+    return outdated;
 }
 
 nlohmann::ordered_json to_json(const std::vector<instance_status>& instances) {
@@ -80,18 +80,18 @@
 }
 
 std::string to_table(const std::vector<instance_status>& instances) {
-    constexpr std::size_t max_line = 160;
-    std::array<char, max_line> line{};
-    const auto* row = "%-20s %-14s %-12s %10s %14s %8s %8s\n";
-    std::snprintf(line.data(), line.size(), row, "instance", "zone", "state", "version",
+    constexpr std::size_t max_line_length = 160;
+    std::array<char, max_line_length> line{};
+    const auto* row_format = "%-20s %-14s %-12s %10s %14s %8s %8s\n";
+    std::snprintf(line.data(), line.size(), row_format, "instance", "zone", "state", "version",
                   "incarnation", "flows", "targets");
     std::string table = line.data();
     for (const auto& each : instances) {
         const auto* state = !each.is_reachable ? "unreachable"
                             : each.is_leaving  ? "leaving"
                                                : "live";
-        std::snprintf(line.data(), line.size(), row, each.name.c_str(), each.zone.c_str(), state,
-                      std::to_string(each.version).c_str(),
+        std::snprintf(line.data(), line.size(), row_format, each.name.c_str(), each.zone.c_str(),
+                      state, std::to_string(each.version).c_str(),
                       std::to_string(each.incarnation).c_str(), std::to_string(each.flows).c_str(),
                       std::to_string(each.targets.size()).c_str());
         table += line.data();
--- a/services/bramleyctl/fleet_status.h
+++ b/services/bramleyctl/fleet_status.h
@@ -1,4 +1,4 @@
-// Which instance has which version, as the instances themselves say.
+// Status of all instances, with the configuration version that each one reports.
 #pragma once
 
 #include <cstdint>
@@ -18,22 +18,24 @@
     bool is_leaving = false;
     bool is_reachable = false;
     std::int64_t incarnation = 0;
-    std::int64_t version = 0;
+    std::int64_t version = 0;  // of the configuration
     std::int64_t flows = 0;
-    std::vector<std::string> targets;  // that it owns
+    std::vector<std::string> targets;  // owned by this instance
 };
 
-// Fills in what the instance's admin page said; leaves it unreachable when that was no status.
-void read_status(std::string_view body, instance_status& into);
+// Fills in `status` from the response of the instance's admin page. Leaves it marked as unreachable
+// when the body is not a status document.
+void parse_status(std::string_view body, instance_status& status);
 
-// Asks each instance that the platform's list shows; nothing when the list can't be read.
-std::optional<std::vector<instance_status>> ask_instances(store_session& session,
-                                                          const std::string& list_url);
+// Queries every instance in the platform's list. Returns nothing when the list can't be read.
+std::optional<std::vector<instance_status>> query_instances(store_session& session,
+                                                            const std::string& list_url);
 
-// Names of those that don't have `version` yet. Leaving instances don't count, and those that are
-// gone from the list aren't among `instances`: waiting for them would never end.
-std::vector<std::string> late_instances(const std::vector<instance_status>& instances,
-                                        std::int64_t version);
+// Returns the names of the instances that don't have `version` yet. Leaving instances are excluded,
+// and those that were removed from the list aren't in `instances`: waiting for them would never
+// end.
+std::vector<std::string> outdated_instances(const std::vector<instance_status>& instances,
+                                            std::int64_t version);
 
 nlohmann::ordered_json to_json(const std::vector<instance_status>& instances);
 std::string to_table(const std::vector<instance_status>& instances);
--- a/services/bramleyctl/main.cpp
+++ b/services/bramleyctl/main.cpp
@@ -1,4 +1,5 @@
-// bramleyctl: the operator's tool. See docs/OPERATIONS.md for each command and exit status.
+// bramleyctl: the command-line tool for operators. See docs/OPERATIONS.md for each command and exit
+// status.
 #include "commands.h"
 #include "settings/command_line.h"
 
@@ -12,9 +13,10 @@
             "overview ADDRESS..."}
             .option("store", options.store_address, "numeric ip:port of the platform's store")
             .option("instances", options.instance_list_url, "URL of the platform's instance list")
-            .option("timeout-ms", options.timeout_ms, "longest time to wait for an answer")
-            .flag("json", options.is_json, "print for scripts")
-            .flag("wait", options.is_waiting, "wait until every instance has the version")
+            .option("timeout-ms", options.timeout_ms, "maximum time to wait for a response")
+            .flag("json", options.is_json, "print JSON")
+            .flag("wait", options.should_wait,
+                  "wait until the version is in force on every instance")
             .parse(argc, argv);
     return ctl::run(options, arguments);
 }
--- a/services/bramleyctl/overview.cpp
+++ b/services/bramleyctl/overview.cpp
@@ -15,7 +15,7 @@
 
 constexpr int http_ok = 200;
 constexpr int usage_status = 2;
-constexpr int differing_status = 6;
+constexpr int inconsistent_status = 6;
 
 struct column {
     const char* heading;
@@ -34,12 +34,12 @@
     column{"flows", "bramleytrack_flows"},
 };
 
-std::string fetch(const std::string& address, clock::duration limit) {
+std::string fetch_metrics(const std::string& address, clock::duration timeout) {
     ev::dynamic_loop loop;
     net::http_client client{loop};
     std::string body;
-    client.get("http://" + address + "/metrics", limit, [&](const net::http_result& answer) {
-        body = answer.status == http_ok ? answer.body : "";
+    client.get("http://" + address + "/metrics", timeout, [&](const net::http_result& response) {
+        body = response.status == http_ok ? response.body : "";
         loop.break_loop(ev::ONE);
     });
     loop.run();
@@ -53,9 +53,9 @@
     std::istringstream lines{std::string{text}};
     for (std::string line; std::getline(lines, line);) {
         const auto space = line.find(' ');
-        const bool is_plain = !line.starts_with('#') && line.find('{') == std::string::npos &&
-                              space != std::string::npos;
-        if (is_plain) {
+        const bool has_no_labels = !line.starts_with('#') && line.find('{') == std::string::npos &&
+                                   space != std::string::npos;
+        if (has_no_labels) {
             result[line.substr(0, space)] = std::strtod(line.c_str() + space, nullptr);
         }
     }
@@ -69,11 +69,12 @@
     }
     auto rows = nlohmann::ordered_json::array();
     std::set<double> versions;
-    bool have_all_answered = true;
+    bool have_all_responded = true;
     for (const auto& address : arguments.subspan(1)) {
-        const auto gauges = parse_gauges(fetch(address, clock::duration{options.timeout_ms}));
+        const auto gauges =
+            parse_gauges(fetch_metrics(address, clock::duration{options.timeout_ms}));
         nlohmann::ordered_json row{{"instance", address}, {"reachable", !gauges.empty()}};
-        have_all_answered = have_all_answered && !gauges.empty();
+        have_all_responded = have_all_responded && !gauges.empty();
         for (const auto& each : columns) {
             const auto found = gauges.find(each.gauge);
             row[each.heading] = found == gauges.end()
@@ -96,7 +97,7 @@
             std::printf("\n");
         }
     }
-    return have_all_answered && versions.size() == 1 ? 0 : differing_status;
+    return have_all_responded && versions.size() == 1 ? 0 : inconsistent_status;
 }
 
 }  // namespace bramleytrack::ctl
--- a/services/bramleyctl/overview.h
+++ b/services/bramleyctl/overview.h
@@ -1,4 +1,5 @@
-// bramleyctl overview ADDRESS...: what instances that route by token believe, from their metrics.
+// bramleyctl overview ADDRESS...: the state of instances that route by token, from their
+// metrics.
 #pragma once
 
 #include <map>
@@ -10,11 +11,11 @@
 
 namespace bramleytrack::ctl {
 
-// The gauges without labels of a Prometheus text, by name.
+// Returns the samples without labels of a Prometheus text exposition, by name.
 std::map<std::string, double> parse_gauges(std::string_view text);
 
-// `arguments` begin with "overview"; the rest are metrics addresses, ip:port. Exit status 0 when
-// all instances answered and have one version, 6 otherwise.
+// `arguments[0]` is "overview"; the rest are metrics addresses as ip:port. Returns the exit status:
+// 0 when all instances answered and have the same configuration version, 6 otherwise.
 int overview(const options& options, std::span<const std::string> arguments);
 
 }  // namespace bramleytrack::ctl
--- a/services/bramleyctl/store_session.h
+++ b/services/bramleyctl/store_session.h
@@ -1,4 +1,4 @@
-// Blocking reads and writes of the store for the command-line tool.
+// Blocking access to the store for the command-line tool.
 #pragma once
 
 #include <ev++.h>
@@ -15,40 +15,41 @@
 
 namespace bramleytrack::ctl {
 
-struct written {
-    std::int64_t version = 0;  // that the store holds now
-    bool is_replaced = false;  // others have written since
+struct write_result {
+    std::int64_t version = 0;  // current version in the store
+    bool is_replaced = false;  // a later write by someone else has replaced the value
 
-    bool operator==(const written&) const = default;
+    bool operator==(const write_result&) const = default;
 };
 
 class store_session {
 public:
-    // Without a valid numeric ip:port every call fails.
+    // Every call fails unless `address` is a numeric ip:port.
     store_session(std::string_view address, clock::duration timeout);
 
     store::outcome<store::lookup_result> read(std::string_view key);
 
-    // Writes when the key still has version `expected` (0: must not exist). A value's version is
-    // the store's revision of its last write. `id` is the value's newest mark (see
-    // configuration/change_trail.h).
+    // Writes `value` if the key still has version `expected_version` (0: must not exist). A value's
+    // version is the store's revision of its last write. `change_id` is the id of the newest change
+    // mark in `value` (see configuration/change_trail.h).
     //
-    // An answer that is lost is resolved by trying again, which the compare-and-swap makes
-    // idempotent, and then by looking for the mark: it tells "mine took effect, then another" from
-    // "another came first". version_conflict in the latter case; write_in_doubt when the store
-    // stays silent until the timeout.
-    std::variant<written, result_code> compare_and_swap(std::string_view key, std::int64_t expected,
-                                                        const std::string& value,
-                                                        std::string_view id);
+    // A lost response leaves it open whether the write took effect. The write is then retried,
+    // which the compare-and-swap makes idempotent, and the stored value is searched for the change
+    // mark. The mark tells apart a write that took effect and was replaced later from one that lost
+    // to a concurrent write; the latter returns version_conflict. Returns write_in_doubt when the
+    // store does not answer until the timeout.
+    std::variant<write_result, result_code> compare_and_swap(std::string_view key,
+                                                             std::int64_t expected_version,
+                                                             const std::string& value,
+                                                             std::string_view change_id);
 
     net::http_result get(const std::string& url);
 
 private:
-    store::outcome<store::committed> commit(const store::transaction& wanted);
-    std::optional<std::variant<written, result_code>> resolve(std::string_view key,
-                                                              std::int64_t expected,
-                                                              std::string_view id);
-    void pause(clock::duration duration);
+    store::outcome<store::committed> commit(const store::transaction& transaction);
+    std::optional<std::variant<write_result, result_code>> resolve_outcome(
+        std::string_view key, std::int64_t expected_version, std::string_view change_id);
+    void sleep_for(clock::duration duration);
 
     ev::default_loop loop_;
     net::http_client client_;
--- a/tests/configuration_status_test.cpp
+++ b/tests/configuration_status_test.cpp
@@ -11,21 +11,22 @@
     // still listed. The wait must name the dead one and not hang on the one that leaves.
     std::vector<ctl::instance_status> instances(3);
     instances[0].name = "live";
-    ctl::read_status(R"({"configuration_version": 7, "targets": ["t"]})", instances[0]);
+    ctl::parse_status(R"({"configuration_version": 7, "targets": ["t"]})", instances[0]);
     instances[1].name = "leaving";
     instances[1].is_leaving = true;
     instances[2].name = "dead";
-    EXPECT_EQ(ctl::late_instances(instances, 7), (std::vector<std::string>{"dead (unreachable)"}));
-    EXPECT_EQ(ctl::late_instances(instances, 8),
+    EXPECT_EQ(ctl::outdated_instances(instances, 7),
+              (std::vector<std::string>{"dead (unreachable)"}));
+    EXPECT_EQ(ctl::outdated_instances(instances, 8),
               (std::vector<std::string>{"live", "dead (unreachable)"}));
 }
 
 TEST(configuration_status, an_answer_of_another_shape_is_no_crash) {
     ctl::instance_status status;
-    ctl::read_status(R"({"configuration_version": "7", "flows": [], "targets": [1, {}]})", status);
+    ctl::parse_status(R"({"configuration_version": "7", "flows": [], "targets": [1, {}]})", status);
     EXPECT_TRUE(status.is_reachable);
     EXPECT_EQ(status.version, 0);
-    ctl::read_status("<html>", status);
+    ctl::parse_status("<html>", status);
     EXPECT_TRUE(status.targets.empty());
 }
 
--- a/tests/store_write_test.cpp
+++ b/tests/store_write_test.cpp
@@ -18,8 +18,8 @@
 
 using configuration::change_mark;
 using configuration::with_trail;
-using ctl::written;
-using outcome = std::variant<written, result_code>;
+using ctl::write_result;
+using outcome = std::variant<write_result, result_code>;
 
 constexpr std::string_view key = "configuration";
 
@@ -81,7 +81,7 @@
     // reported a conflict with another operator.
     const auto text = with_trail("{}", "", {"mine", "apply"});
     set_fault("lost", "1");
-    EXPECT_EQ(session.compare_and_swap(key, 0, text, "mine"), outcome{written{.version = 2}});
+    EXPECT_EQ(session.compare_and_swap(key, 0, text, "mine"), outcome{write_result{.version = 2}});
     EXPECT_EQ(writes, 1);
 }
 
@@ -93,7 +93,7 @@
     set_fault("lost", "1");
     after_write = [&] { write_as_other(with_trail("{}", mine, {"theirs", "target drain t"})); };
     EXPECT_EQ(session.compare_and_swap(key, 0, mine, "mine"),
-              (outcome{written{.version = 3, .is_replaced = true}}));
+              (outcome{write_result{.version = 3, .is_replaced = true}}));
 }
 
 TEST_F(store_write, a_conflict_names_the_change_of_the_other_operator) {
