--- a/services/bramleyctl/commands.cpp
+++ b/services/bramleyctl/commands.cpp
@@ -257,7 +257,8 @@
         }
     }
 
-    static int report_conflict(std::span<const configuration::change_log_entry> conflicting_changes) {
+    static int report_conflict(
+        std::span<const configuration::change_log_entry> conflicting_changes) {
         const int status = report_error(result_code::version_conflict,
                                         "nothing was written; changed by others in the meantime:");
         for (const auto& each : conflicting_changes) {
