--- a/libraries/steering/steering.cpp
+++ b/libraries/steering/steering.cpp
@@ -338,9 +338,9 @@
     return share;
 }
 
-std::vector<const discovery::target*> steering::sample_targets(const discovery::pool& pool,
-                                                               const discovery::route& route,
-                                                               std::uint64_t flow_hash) const {
+std::vector<const discovery::target*> steering::sample_pool(const discovery::pool& pool,
+                                                            const discovery::route& route,
+                                                            std::uint64_t flow_hash) const {
     enum tier : std::size_t { same_zone, same_region, other_region, tier_count };
     constexpr std::array<std::size_t, tier_count> samples{
         same_zone_sample_size, same_region_sample_size, remote_region_sample_size};
@@ -373,7 +373,7 @@
         pool, demand_of(pool.description.name, now),
         [this, &route](std::string_view zone) { return is_allowed(route, zone); }, now);
     const bool has_service_capacity = has_capacity(result.usage, result.capacity_share);
-    for (const auto* each : sample_targets(pool, route, hash_of_flow(packet))) {
+    for (const auto* each : sample_pool(pool, route, hash_of_flow(packet))) {
         if (!each->accepts_new_flows(now)) {
             continue;
         }
--- a/libraries/steering/steering.h
+++ b/libraries/steering/steering.h
@@ -121,9 +121,9 @@
                                            const discovery::route& route, const segment& packet,
                                            clock::time_point now);
     // The targets that are considered for an opening, those of the local zone first.
-    std::vector<const discovery::target*> sample_targets(const discovery::pool& pool,
-                                                         const discovery::route& route,
-                                                         std::uint64_t flow_hash) const;
+    std::vector<const discovery::target*> sample_pool(const discovery::pool& pool,
+                                                      const discovery::route& route,
+                                                      std::uint64_t flow_hash) const;
     std::string_view region_of(std::string_view zone) const;
     bool is_allowed(const discovery::route& route, std::string_view zone) const;
     service_demand_split demand_of(std::string_view service, clock::time_point now) const;
