--- a/libraries/discovery/directory.cpp
+++ b/libraries/discovery/directory.cpp
@@ -191,8 +191,9 @@
 }
 
 // An outage of the store can be too short for any call to fail and still let the entries of all
-// targets expire. A healthy service would then reject its callers until the entries are back. Half
-// of the targets of a service don't stop within a second, but their entries can expire within it.
+// targets expire. A healthy service would then reject its callers until the targets have registered
+// again. If at least half of a service's targets, and at least two, are unexpectedly removed within
+// bulk_removal_window, this assumes that their entries have expired, not that the targets stopped.
 void directory::presume_alive_on_bulk_removal(const std::string& service, clock::time_point now) {
     std::vector<target*> unexpectedly_removed;
     std::size_t listed = 0;
--- a/libraries/discovery/directory.h
+++ b/libraries/discovery/directory.h
@@ -1,5 +1,5 @@
-// The state of discovery that this instance holds: the operators' catalogue, targets, zones that
-// are out, and peers.
+// The state of discovery that this instance holds: the operators' catalogue, targets, zones out of
+// service, and peers.
 //
 // As long as the process runs, no part of it returns to an older state: catalogues are ordered by
 // version, and everything else by the revision of its key, which store::mirror ensures.
@@ -23,7 +23,7 @@
 // A service to which routes can split, with its targets resolved.
 struct pool {
     service description;
-    std::vector<target*> targets;  // listed, or unexpectedly removed a short time ago; by id
+    std::vector<target*> targets;  // listed, or unexpectedly removed within flow_lifetime; by id
     std::map<std::string, std::vector<target*>, std::less<>> by_zone;  // the same targets
 };
 
@@ -36,19 +36,32 @@
 struct directory_limits {
     // The longest time for which a flow can continue after its target's entry was removed.
     clock::duration flow_lifetime{60'000};
-    // Entries that expired during a store outage are back two seconds after the store is reachable;
-    // targets that are missing then have stopped. That leaves 500 ms for late responses.
+    // For how long a target whose entry may have expired during a store outage is presumed alive,
+    // counted from the arrival of the removal at this instance. Live targets write their entries
+    // again within one heartbeat (1.5 s) after the store has recovered; 500 ms are added for late
+    // responses. Targets that are still missing then count as stopped.
     clock::duration reregistration_grace{2'000};
-    // Entries that expire for one common reason are removed within one heartbeat of the targets.
+    // Entries that expire because of the same outage are removed within one heartbeat of the
+    // targets. See presume_alive_on_bulk_removal().
     clock::duration bulk_removal_window{1'500};
-    // An instance that is isolated from all others doesn't receive the removal of its own entry. It
-    // detects its isolation within two seconds (update_source_limits::isolation) plus one tick.
+    // For how long a departed peer keeps the ownership of its cold targets (steering/cold_gate).
+    // An instance that is isolated from all others doesn't receive the removal of its own entry
+    // and continues to open flows to these targets until it detects its isolation, after
+    // update_source_limits::isolation_timeout (2 s) plus one tick. If another instance became
+    // the owner before that, both would open flows to them.
     clock::duration departed_peer_retention{2'500};
     // Other writers of the store could add any number of targets; 4,700 are planned for.
     std::size_t max_targets = 20'000;
 };
 
-enum class change { none, applied, refused };
+// The effect of a record on the directory.
+enum class change {
+    none,     // the directory held this state or a newer one, or the record doesn't concern it
+    applied,  // the directory has changed
+    // A target beyond max_targets, or a value that can't be decoded. The latter also removes the
+    // target whose key it is stored under.
+    refused
+};
 
 class directory {
 public:
@@ -56,8 +69,8 @@
 
     void set_flow_lifetime(clock::duration lifetime) { limits_.flow_lifetime = lifetime; }
 
-    // `had_recent_store_outage`: the store was unreachable within the reregistration grace, so a
-    // removal may be the expiry of a live target's entry.
+    // `had_recent_store_outage`: the store was unreachable a short time ago, so a removal may be
+    // the expiry of a live target's entry.
     change apply(const record& subject, std::int64_t revision, bool had_recent_store_outage,
                  clock::time_point now);
     // Drops targets that were removed longer ago than a flow can continue, and departed peers after
@@ -72,10 +85,12 @@
     const pool* find_pool(std::string_view service) const;
     // nullptr unless a target has the token, or had it within the lifetime of a flow.
     const target* find_target(routing_token token) const;
+    // Zones that operators have taken out of service.
     bool is_zone_out(std::string_view zone) const { return zones_out_.contains(zone); }
     const std::set<std::string, std::less<>>& zones_out() const { return zones_out_; }
     const std::map<std::string, registered_peer, std::less<>>& peers() const { return peers_; }
-    // Peers whose entry was removed within departed_peer_retention, and when.
+    // Peers whose entry was removed within departed_peer_retention, and when this instance received
+    // the removal. They still count as possible owners of cold targets.
     const std::map<std::string, clock::time_point, std::less<>>& departed_peers() const {
         return departed_peers_;
     }
--- a/libraries/discovery/records.h
+++ b/libraries/discovery/records.h
@@ -73,6 +73,7 @@
     std::string id;
 };
 
+// Operators have taken a zone out of service, or put it back.
 struct zone_out {
     std::string zone;
     bool is_out = true;
--- a/libraries/discovery/registration.cpp
+++ b/libraries/discovery/registration.cpp
@@ -71,18 +71,18 @@
 void registration::grant(clock::time_point sent_at) {
     store_.grant_lease(
         limits_.lifetime, limits_.call_timeout,
-        [this, sent_at](const store::outcome<store::lease>& answer, clock::time_point now) {
+        [this, sent_at](const store::outcome<store::lease>& response, clock::time_point now) {
             if (step_ == step::ended) {
                 return;
             }
-            if (const auto* granted = std::get_if<store::lease>(&answer)) {
+            if (const auto* granted = std::get_if<store::lease>(&response)) {
                 lease_ = granted->number;
                 is_entry_written_ = false;
                 lease_valid_until_ = sent_at + limits_.lifetime;
                 step_ = step::waiting;
                 write(now);
             } else {
-                fail(std::get<result_code>(answer), now);
+                fail(std::get<result_code>(response), now);
             }
         });
 }
@@ -93,16 +93,16 @@
                                      .removals = {}};
     store_.commit(
         request, limits_.call_timeout,
-        [this, sent_at](const store::outcome<store::committed>& answer, clock::time_point now) {
+        [this, sent_at](const store::outcome<store::committed>& response, clock::time_point now) {
             if (step_ == step::ended) {
                 return;
             }
-            if (std::holds_alternative<store::committed>(answer)) {
+            if (std::holds_alternative<store::committed>(response)) {
                 is_entry_written_ = true;
                 succeed(sent_at, now);
                 set_registered(true, result_code::ok, now);
             } else {
-                fail(std::get<result_code>(answer), now);
+                fail(std::get<result_code>(response), now);
             }
         });
 }
@@ -110,16 +110,16 @@
 void registration::renew(clock::time_point sent_at) {
     store_.renew_lease(
         lease_, limits_.call_timeout,
-        [this, sent_at](const store::outcome<store::lease>& answer, clock::time_point now) {
+        [this, sent_at](const store::outcome<store::lease>& response, clock::time_point now) {
             if (step_ == step::ended) {
                 return;
             }
-            if (std::holds_alternative<store::lease>(answer)) {
+            if (std::holds_alternative<store::lease>(response)) {
                 lease_valid_until_ = sent_at + limits_.lifetime;
                 succeed(sent_at, now);
                 set_registered(true, result_code::ok, now);
             } else {
-                fail(std::get<result_code>(answer), now);
+                fail(std::get<result_code>(response), now);
             }
         });
 }
--- a/libraries/discovery/registration.h
+++ b/libraries/discovery/registration.h
@@ -38,7 +38,7 @@
     // attached to that lease.
     //
     // When a zone or the whole fleet restarts after a power failure, each instance would otherwise
-    // request a lease and write an entry that exists already, which wakes all watchers. A single
+    // request a lease and write an entry that exists already, which completes every watch. A single
     // renewal of the old lease is enough.
     void adopt_lease(std::string_view value, std::int64_t lease);
     // The store reports that the entry was removed, though its lease may still be valid.
--- a/libraries/discovery/target.h
+++ b/libraries/discovery/target.h
@@ -28,6 +28,8 @@
     removal_reason removal = removal_reason::none;
     clock::time_point changed_at;  // when this instance received the newest state
     std::int64_t revision = 0;     // of that state in the store
+    // Until then the target is cold: it has just started and can handle only
+    // service::cold_flows_per_second new flows.
     clock::time_point cold_until;
     // Entries of live targets may expire during a store outage: a target whose entry was removed
     // unexpectedly after an outage, or along with many others, may take new flows until this time.
--- a/tests/discovery_directory_test.cpp
+++ b/tests/discovery_directory_test.cpp
@@ -104,8 +104,9 @@
 
 TEST_F(discovery_directory,
        targets_whose_entries_expired_in_an_outage_accept_flows_for_two_seconds) {
-    // The entries of live targets expired during a store outage. They are back two seconds after
-    // the store is reachable; without the grace a service would reject all callers until then.
+    // The entries of live targets expired during a store outage. The targets write them again
+    // within two seconds of the store's recovery; without the grace a service would reject all
+    // callers until then.
     apply(make_catalogue(1));
     apply(make_entry("i-1"));
     apply(target_removed{"i-1"}, start, true);
