--- a/libraries/store/feed.cpp
+++ b/libraries/store/feed.cpp
@@ -48,33 +48,33 @@
 void feed::start_read(clock::time_point now) {
     phase_ = phase::reading;
     read_started_ = now;
-    watch_attempt_ = 0;
-    const auto attempt = ++attempts_;
+    watch_call_id_ = 0;
+    const auto call_id = ++last_call_id_;
     reads_.push_back(
-        {.attempt = attempt, .freshness = freshness(), .items = {}, .revision = std::nullopt});
-    request_page({}, attempt, now);
+        {.call_id = call_id, .freshness = freshness(), .items = {}, .revision = std::nullopt});
+    request_page({}, call_id, now);
 }
 
-void feed::request_page(const std::string& after_key, std::int64_t attempt,
+void feed::request_page(const std::string& after_key, std::int64_t call_id,
                         clock::time_point sent_at) {
     ++calls_;
     store_.range(all_keys, after_key, freshness(), limits_.read_timeout,
-                 [this, attempt, sent_at](const outcome<page>& answer, clock::time_point now) {
-                     on_page(attempt, sent_at, answer, now);
+                 [this, call_id, sent_at](const outcome<page>& response, clock::time_point now) {
+                     on_page(call_id, sent_at, response, now);
                  });
 }
 
-void feed::on_page(std::int64_t attempt, clock::time_point sent_at, const outcome<page>& answer,
+void feed::on_page(std::int64_t call_id, clock::time_point sent_at, const outcome<page>& response,
                    clock::time_point now) {
-    const auto current = std::ranges::find(reads_, attempt, &reading::attempt);
+    const auto current = std::ranges::find(reads_, call_id, &reading::call_id);
     if (current == reads_.end()) {
         return;
     }
-    const auto* result = std::get_if<page>(&answer);
+    const auto* result = std::get_if<page>(&response);
     if (result == nullptr) {
         reads_.erase(current);
         if (reads_.empty()) {
-            fail(std::get<result_code>(answer), now);
+            fail(std::get<result_code>(response), now);
         }
         return;
     }
@@ -82,7 +82,7 @@
     // Pages that may be seconds old can arrive with decreasing revisions.
     current->revision = std::min(current->revision.value_or(result->revision), result->revision);
     if (result->has_more && !result->items.empty()) {
-        request_page(result->items.back().key, attempt, now);
+        request_page(result->items.back().key, call_id, now);
         return;
     }
     const auto finished_read = std::move(*current);
@@ -101,36 +101,37 @@
 
 void feed::start_watch(clock::time_point sent_at) {
     phase_ = phase::watching;
-    const auto attempt = ++attempts_;
-    watch_attempt_ = attempt;
+    const auto call_id = ++last_call_id_;
+    watch_call_id_ = call_id;
     ++calls_;
     store_.watch(
         all_keys, mirror_.revision(), limits_.watch_wait,
         limits_.watch_wait + limits_.watch_response_margin,
-        [this, attempt, sent_at](const outcome<watch_result>& answer, clock::time_point now) {
-            on_watch_result(attempt, sent_at, answer, now);
+        [this, call_id, sent_at](const outcome<watch_result>& response, clock::time_point now) {
+            on_watch_result(call_id, sent_at, response, now);
         });
 }
 
-void feed::on_watch_result(std::int64_t attempt, clock::time_point sent_at,
-                           const outcome<watch_result>& answer, clock::time_point now) {
-    if (attempt != watch_attempt_) {
+void feed::on_watch_result(std::int64_t call_id, clock::time_point sent_at,
+                           const outcome<watch_result>& response, clock::time_point now) {
+    if (call_id != watch_call_id_) {
         return;
     }
     phase_ = phase::idle;
-    watch_attempt_ = 0;
-    const auto* result = std::get_if<watch_result>(&answer);
+    watch_call_id_ = 0;
+    const auto* result = std::get_if<watch_result>(&response);
     if (result == nullptr) {
         // Changes may have been missed, whatever the reason.
         must_read_ = true;
-        if (std::get<result_code>(answer) == result_code::history_gone) {
+        if (std::get<result_code>(response) == result_code::history_gone) {
             start_read(now);
         } else {
-            fail(std::get<result_code>(answer), now);
+            fail(std::get<result_code>(response), now);
         }
         return;
     }
-    // A response without events was sent at the end of the wait, or later.
+    // An empty response that arrives after the wait confirms the state as of the end of the wait;
+    // any other response confirms it as of the time at which the watch was sent.
     const bool is_wait_over = result->events.empty() && now - sent_at >= limits_.watch_wait;
     succeed(now);
     confirmed_at_ = std::max(confirmed_at_, is_wait_over ? sent_at + limits_.watch_wait : sent_at);
--- a/libraries/store/feed.h
+++ b/libraries/store/feed.h
@@ -6,8 +6,8 @@
 //
 // The store may be unreachable or slow, or may reject this instance alone; a response may be lost
 // while the connection stays open; the history may be lost. Each call has its own
-// timeout, each failure is retried within a second, and all keys are read again whenever changes
-// may have been missed.
+// timeout, and a failure is retried within a second unless watches are disabled. All keys are read
+// again whenever changes may have been missed.
 #pragma once
 
 #include <algorithm>
@@ -36,15 +36,17 @@
     // Changes come in bursts (a release, a start of the fleet), and each response to a watch is
     // charged as a call.
     clock::duration pause_after_events{200};
-    // Applies whatever the number of watchers: half of the time within which a change has to be
-    // applied on all instances.
+    // Upper bound of pause_after_events times the number of watchers. A change must be in force on
+    // all instances within 3 s, and this pause delays it.
     clock::duration max_pause_after_events{1'000};
     // A store that doesn't support watches responds to each at once without events, and the next
     // watch would follow immediately. Two calls a second keep the confirmation age low enough.
     clock::duration early_response_pause{500};
-    // A person doesn't notice the delay of the first retry; the last limits 610 instances to 800
-    // calls a second.
+    // The delay doubles with each failure, with a jitter of half to the whole of it. A person
+    // doesn't notice the delay of the first retry.
     clock::duration initial_retry_delay{100};
+    // 610 instances that retry every 800 ms make about 760 calls a second, and with the jitter up
+    // to twice as many.
     clock::duration max_retry_delay{800};
 };
 
@@ -52,9 +54,10 @@
 public:
     // The changes in order; empty when a response only confirmed the state of the mirror.
     using change_callback = std::function<void(std::span<const event>, clock::time_point now)>;
-    // The store became unreachable or reachable again.
-    using state_callback = std::function<void(bool is_reachable, result_code reason, int attempts,
-                                              clock::time_point now)>;
+    // The store became unreachable or reachable again. `consecutive_failures` counts those since
+    // the last response.
+    using state_callback = std::function<void(bool is_reachable, result_code reason,
+                                              int consecutive_failures, clock::time_point now)>;
 
     feed(client& store, mirror& local_mirror, std::uint64_t seed, feed_limits limits = {});
 
@@ -63,8 +66,9 @@
 
     // Starts calls that are due; to be called every few tens of milliseconds.
     void tick(clock::time_point now);
-    // Whether new watches start. An instance that receives the store's changes from a peer needs
-    // none.
+    // Whether tick() starts calls once the first read is complete: watches, scheduled rereads and
+    // retries. An instance that receives the store's changes from a peer needs none. A call that is
+    // pending continues, including the hedge of a read, and reread() works in any case.
     void set_watch_enabled(bool is_enabled) { is_watch_enabled_ = is_enabled; }
     // The number of instances that are expected to watch. The pause after events is multiplied by
     // it: together they cost as many calls as one watcher, and one of them receives a change as
@@ -72,20 +76,23 @@
     void set_expected_watchers(std::size_t number) {
         expected_watchers_ = std::max<std::size_t>(number, 1);
     }
-    // Whether no watch is active for now, so that changes should be pulled from a peer instead.
-    bool is_pausing() const { return is_complete_ && phase_ == phase::idle; }
+    // Whether neither a watch nor a read is pending after the first read, so that changes should be
+    // pulled from a peer instead: during pauses and retry delays, and while watches are disabled.
+    bool is_idle() const { return is_complete_ && phase_ == phase::idle; }
     // Reads all keys now; called when the watch seems to be stalled.
     void reread(clock::time_point now);
 
     // Whether all keys were read at least once.
     bool is_complete() const { return is_complete_; }
     bool is_reachable() const { return is_reachable_; }
-    // The time at which the mirror was last confirmed to be current: when a read of the newest
-    // state or a watch was sent, or when the wait of a watch ended without events.
+    // The time at which the mirror was last confirmed to be current: when the last page of a read
+    // of the newest state was requested, when a watch was sent, or when the wait of a watch ended
+    // without events.
     clock::time_point confirmed_at() const { return confirmed_at_; }
     // When the last call failed; the epoch when none has failed since the last response.
     clock::time_point failed_at() const { return failed_at_; }
-    // When the store was last found unreachable.
+    // The last time at which the store was known to be unreachable: when a call failed last, or
+    // when the first response after it arrived. The epoch when no call has failed.
     clock::time_point unreachable_at() const { return unreachable_at_; }
     std::int64_t calls() const { return calls_; }
 
@@ -93,22 +100,22 @@
     enum class phase { idle, reading, watching };
 
     void start_read(clock::time_point now);
-    void request_page(const std::string& after_key, std::int64_t attempt,
+    void request_page(const std::string& after_key, std::int64_t call_id,
                       clock::time_point sent_at);
     read_freshness freshness() const {
         return is_complete_ ? read_freshness::newest : read_freshness::seconds_old;
     }
-    void on_page(std::int64_t attempt, clock::time_point sent_at, const outcome<page>& answer,
+    void on_page(std::int64_t call_id, clock::time_point sent_at, const outcome<page>& response,
                  clock::time_point now);
     void start_watch(clock::time_point sent_at);
-    void on_watch_result(std::int64_t attempt, clock::time_point sent_at,
-                         const outcome<watch_result>& answer, clock::time_point now);
+    void on_watch_result(std::int64_t call_id, clock::time_point sent_at,
+                         const outcome<watch_result>& response, clock::time_point now);
     void succeed(clock::time_point now);
     void fail(result_code reason, clock::time_point now);
     void publish(std::span<const event> events, clock::time_point now);
 
     struct reading {
-        std::int64_t attempt = 0;
+        std::int64_t call_id = 0;  // the same for all pages of the read
         read_freshness freshness = read_freshness::newest;
         std::vector<item> items;
         std::optional<std::int64_t> revision;  // lowest revision of the pages
@@ -121,11 +128,11 @@
     change_callback change_callback_;
     state_callback state_callback_;
     phase phase_ = phase::idle;
-    // Responses to reads that are not in this list, or to a watch that isn't `watch_attempt_`, are
+    // Responses to reads that are not in this list, or to a watch that isn't `watch_call_id_`, are
     // ignored as late.
     std::vector<reading> reads_;
-    std::int64_t watch_attempt_ = 0;
-    std::int64_t attempts_ = 0;
+    std::int64_t watch_call_id_ = 0;  // 0: no watch is pending
+    std::int64_t last_call_id_ = 0;
     std::int64_t calls_ = 0;
     int consecutive_failures_ = 0;
     std::size_t expected_watchers_ = 1;
--- a/libraries/store/key_watch.cpp
+++ b/libraries/store/key_watch.cpp
@@ -27,12 +27,12 @@
 void key_watch::read() {
     must_read_ = false;
     store_.get(key_, limits_.read_timeout,
-               [this](const outcome<lookup_result>& answer, clock::time_point now) {
+               [this](const outcome<lookup_result>& response, clock::time_point now) {
                    is_call_pending_ = false;
-                   const auto* result = std::get_if<lookup_result>(&answer);
+                   const auto* result = std::get_if<lookup_result>(&response);
                    if (result == nullptr) {
                        must_read_ = true;
-                       fail(std::get<result_code>(answer), now);
+                       fail(std::get<result_code>(response), now);
                        return;
                    }
                    consecutive_failures_ = 0;
@@ -46,11 +46,11 @@
 
 void key_watch::watch(clock::time_point sent_at) {
     store_.watch(key_, last_seen_revision_, limits_.wait, limits_.wait + limits_.response_margin,
-                 [this, sent_at](const outcome<watch_result>& answer, clock::time_point now) {
+                 [this, sent_at](const outcome<watch_result>& response, clock::time_point now) {
                      is_call_pending_ = false;
-                     const auto* result = std::get_if<watch_result>(&answer);
+                     const auto* result = std::get_if<watch_result>(&response);
                      if (result == nullptr) {
-                         fail(std::get<result_code>(answer), now);
+                         fail(std::get<result_code>(response), now);
                          return;
                      }
                      consecutive_failures_ = 0;
--- a/libraries/store/key_watch.h
+++ b/libraries/store/key_watch.h
@@ -1,6 +1,6 @@
 // Follows one key of the store: reads it, then repeatedly watches for its next change.
 //
-// The store limits the rate of calls, and its limits grow more slowly than the fleet. 610 daemons
+// The store limits the rate of calls, and its limits grow more slowly than the fleet. 610 instances
 // must not all call it at once after an outage, and a response without a change must not be
 // followed by the next call immediately. Retries are therefore jittered and backed off. feed.h
 // keeps a mirror of all keys.
@@ -25,7 +25,7 @@
     // A response without events long before the end of the wait comes from a store that doesn't
     // support watches.
     clock::duration early_response_pause{1'000};
-    // A change must be applied within 4 s after the store is reachable again. 610 daemons that
+    // A change must be applied within 4 s after the store is reachable again. 610 instances that
     // retry every 2 to 4 s make some 200 calls a second, a tenth of what the store accepts.
     clock::duration initial_retry_delay{500};
     clock::duration max_retry_delay{4'000};
--- a/libraries/store/mirror.h
+++ b/libraries/store/mirror.h
@@ -42,7 +42,8 @@
     // removed, unless they changed after that revision.
     std::vector<event> replace(std::span<const item> items, std::int64_t revision);
 
-    // All events up to this revision have been applied, according to the sources.
+    // All events up to this revision have been applied, according to the responses of the store and
+    // of peers.
     std::int64_t revision() const { return revision_; }
     void advance(std::int64_t revision);
 
--- a/libraries/store/store.h
+++ b/libraries/store/store.h
@@ -82,7 +82,9 @@
     clock::duration lifetime{0};
 };
 
-// The result, or store_unavailable, store_throttled, history_gone, condition_failed or lease_ended.
+// The result, or a failure: store_unavailable, store_throttled, history_gone (the store no longer
+// has the events after the revision of a watch), condition_failed (of a transaction) or
+// lease_ended.
 template <typename result>
 using outcome = std::variant<result, result_code>;
 
--- a/services/bramleyd/steering_daemon.cpp
+++ b/services/bramleyd/steering_daemon.cpp
@@ -207,7 +207,7 @@
     if (!has_initial_state_) {
         peer_exchange_.fetch_from_seed(now);
     } else if (const auto source = update_source_.next_pull(
-                   mirror_.revision(), should_watch && !feed_.is_pausing(), now)) {
+                   mirror_.revision(), should_watch && !feed_.is_idle(), now)) {
         peer_exchange_.fetch(*source, now);
     }
     const bool has_lost_store = feed_.failed_at() != clock::time_point{};
--- a/tests/store_feed_test.cpp
+++ b/tests/store_feed_test.cpp
@@ -165,12 +165,12 @@
     become_watching(start);
     store_.watches.back().done(store::watch_result{.events = {make_item("b", 4)}, .revision = 4},
                                start);
-    EXPECT_TRUE(feed_.is_pausing());
+    EXPECT_TRUE(feed_.is_idle());
     feed_.tick(start + clock::duration{700});
     EXPECT_EQ(store_.watches.size(), 1U);
     feed_.tick(start + clock::duration{800});
     EXPECT_EQ(store_.watches.size(), 2U);
-    EXPECT_FALSE(feed_.is_pausing());
+    EXPECT_FALSE(feed_.is_idle());
     // A change is never delayed by more than a second.
     feed_.set_expected_watchers(100);
     store_.watches.back().done(store::watch_result{.events = {make_item("c", 5)}, .revision = 5},
--- a/tests/store_mirror_test.cpp
+++ b/tests/store_mirror_test.cpp
@@ -1,4 +1,4 @@
-// Store: keys of the mirror never return to an older state, in whatever order its sources report.
+// Store: keys of the mirror never return to an older state, in whatever order items arrive.
 #include <gtest/gtest.h>
 
 #include "store/mirror.h"
--- a/tests/store_write_test.cpp
+++ b/tests/store_write_test.cpp
@@ -61,7 +61,7 @@
     }
 
     // Writes as another operator, without the injected faults. Returns the key's version.
-    std::int64_t write_as_other(const std::string& value) {
+    std::int64_t write_as_other_operator(const std::string& value) {
         net::http_request request;
         request.method = "PUT";
         request.path = "/put";
@@ -91,7 +91,9 @@
     // change; reporting a conflict would make the operator repeat it.
     const auto mine = with_trail("{}", "", {"mine", "zone out north"});
     set_fault("lost", "1");
-    after_write = [&] { write_as_other(with_trail("{}", mine, {"theirs", "target drain t"})); };
+    after_write = [&] {
+        write_as_other_operator(with_trail("{}", mine, {"theirs", "target drain t"}));
+    };
     EXPECT_EQ(session.compare_and_swap(key, 0, mine, "mine"),
               (outcome{written{.version = 3, .is_replaced = true}}));
 }
@@ -100,9 +102,9 @@
     // Two operators read the same version. The second write is rejected, and the difference names
     // the change of the first.
     const auto base = with_trail("{}", "", {"base", "apply"});
-    const auto read_by_both = write_as_other(base);
+    const auto read_by_both = write_as_other_operator(base);
     const auto theirs = with_trail("{}", base, {"theirs", "zone out north"});
-    write_as_other(theirs);
+    write_as_other_operator(theirs);
     const auto mine = with_trail("{}", base, {"mine", "target drain t"});
     EXPECT_EQ(session.compare_and_swap(key, read_by_both, mine, "mine"),
               outcome{result_code::version_conflict});
