--- a/libraries/fleet/peer_digests.h
+++ b/libraries/fleet/peer_digests.h
@@ -20,7 +20,7 @@
 namespace bramleytrack::fleet {
 
 struct digest_limits {
-    // A peer's last digest expires after the next three in a row were missed.
+    // A digest is sent every 300 ms, so a peer's last one expires after three more were missed.
     clock::duration freshness{1'200};
     // Receivers of one digest. Eight are all peers in current fleets. With at most 185 bytes every
     // 300 ms they cost the sender 4.9 KB/s, and the budget of an instance for control traffic is
@@ -61,7 +61,7 @@
     }
     // When the last digest of any peer arrived.
     clock::time_point last_received_at() const { return last_received_at_; }
-    // When a peer last reported that the store didn't answer it.
+    // When the last digest arrived whose sender's latest store call had failed.
     clock::time_point store_failure_reported_at() const { return store_failure_reported_at_; }
 
     // The receivers of the next digest: peers in the same zone and in others. Each group is used in
--- a/libraries/fleet/stop_plan.h
+++ b/libraries/fleet/stop_plan.h
@@ -26,10 +26,11 @@
     clock::duration time_to_rotation{1'000};
 };
 
-// The number of the zone's other instances that are in rotation according to the directory.
-inline std::size_t others_in_rotation(const discovery::directory& directory, std::string_view self,
-                                      std::string_view zone, clock::time_point now,
-                                      const stop_limits& limits = {}) {
+// The number of peers in `zone` that are in rotation: they have been registered for
+// time_to_rotation.
+inline std::size_t peers_in_rotation(const discovery::directory& directory, std::string_view self,
+                                     std::string_view zone, clock::time_point now,
+                                     const stop_limits& limits = {}) {
     return static_cast<std::size_t>(std::ranges::count_if(directory.peers(), [&](const auto& each) {
         const auto& [name, peer] = each;
         return name != self && peer.entry.zone == zone &&
@@ -41,25 +42,25 @@
 public:
     explicit stop_plan(stop_limits limits = {}) : limits_{limits} {}
 
-    // `others` is the current result of others_in_rotation().
-    void begin(clock::time_point now, std::size_t others) {
+    // `zone_peers` is the current result of peers_in_rotation().
+    void begin(clock::time_point now, std::size_t zone_peers) {
         is_begun_ = true;
         begun_at_ = now;
-        zone_size_ = others + 1;
+        initial_in_rotation_ = zone_peers + 1;
     }
 
     bool is_begun() const { return is_begun_; }
     clock::duration elapsed(clock::time_point now) const { return now - begun_at_; }
 
     // `packet_at` is when the last packet of a caller arrived.
-    bool may_end(clock::time_point now, clock::time_point packet_at, std::size_t others,
+    bool may_end(clock::time_point now, clock::time_point packet_at, std::size_t zone_peers,
                  clock::duration grace) const {
         if (!is_begun_) {
             return false;
         }
         const bool is_idle =
             elapsed(now) >= limits_.min_stop_time && now - packet_at >= limits_.min_idle_time;
-        const bool is_zone_in_rotation = others * 2 >= zone_size_;
+        const bool is_zone_in_rotation = zone_peers * 2 >= initial_in_rotation_;
         return (is_idle && is_zone_in_rotation) || elapsed(now) >= grace - limits_.shutdown_time;
     }
 
@@ -67,7 +68,8 @@
     stop_limits limits_;
     bool is_begun_ = false;
     clock::time_point begun_at_;
-    std::size_t zone_size_ = 1;  // this instance included, when the stop began
+    // Instances of the zone in rotation when the stop began, including this one.
+    std::size_t initial_in_rotation_ = 1;
 };
 
 }  // namespace bramleytrack::fleet
--- a/libraries/fleet/target_failure_detector.cpp
+++ b/libraries/fleet/target_failure_detector.cpp
@@ -158,7 +158,7 @@
     }
     found->second.is_refuted = true;
     if (const auto* target = directory_.find_target(token)) {
-        actions_.on_reached(*target);
+        actions_.on_found_alive(*target);
     }
 }
 
@@ -170,8 +170,8 @@
             case check_phase::probing:
                 return now - subject.phase_since > limits_.probe_result_lifetime;
             case check_phase::indirect_probing:
-                // Too few results have arrived: the caller's next retransmission selects other
-                // peers.
+                // Too few results have arrived. The caller's next retransmission starts a new
+                // check, which selects other peers once the next period has begun.
                 return now - subject.phase_since > limits_.indirect_probe_timeout;
             case check_phase::completed:
                 return now - subject.phase_since > limits_.probe_result_lifetime;
@@ -187,7 +187,7 @@
     has_unsent_verdicts_ = false;
     std::vector<std::pair<discovery::routing_token, verdict*>> pending;
     for (auto& [token, each] : verdicts_) {
-        if (each.sent_count < limits_.verdict_retransmissions && !each.is_refuted) {
+        if (each.sent_count < limits_.max_sends_per_verdict && !each.is_refuted) {
             pending.emplace_back(token, &each);
         }
     }
@@ -276,10 +276,10 @@
            std::min(limits_.min_confirmations, subject.indirect_probers.size());
 }
 
-// All instances that suspect the target in the same period select the same peers, so that it is
-// probed only a few times; the next period selects others, since some may be gone. Peers in the
-// same zone come first: a partition affects them alike, so their results hold for the callers of
-// the zone.
+// The selection changes with each period of probe_result_lifetime, since some peers may be gone.
+// Within a period, the instances of a zone that suspect the target select the same peers, so that
+// it is probed only a few times. Peers in the same zone come first: a partition affects them alike,
+// so their results hold for the callers of the zone.
 std::vector<const discovery::peer_entry*> target_failure_detector::select_indirect_probers(
     discovery::routing_token token, clock::time_point now) const {
     struct candidate {
--- a/libraries/fleet/target_failure_detector.h
+++ b/libraries/fleet/target_failure_detector.h
@@ -1,20 +1,24 @@
 // Decides whether a target that leaves packets unanswered is dead, by direct and indirect probes.
 //
 // Hundreds of instances share the flows of hundreds of targets, so an instance has one flow of a
-// target or none, and one silent flow is no evidence: callers of a dead target would wait for their
-// deadlines one by one. Therefore the first packet that a caller retransmits triggers a direct
-// probe, and when that fails, three peers probe the target too, as in SWIM (Das, Gupta and
-// Motivala, 2002). The verdict is disseminated with the digests.
+// target or none. One silent flow is too little evidence for a verdict, and waiting for more would
+// let each caller of a dead target run into its deadline. Therefore the first packet that a caller
+// retransmits triggers a direct probe, which is an attempt to connect to the target. When that
+// fails, up to three peers probe the target too, as in SWIM (Das, Gupta and Motivala, 2002). The
+// verdict is disseminated with the digests.
 //
 // An instance that is cut off finds every target dead, and its reports would end flows of live
-// targets. A peer's report therefore never ends a flow: it only starts the same check here. Only
+// targets. A peer's report alone therefore ends no flow. It makes new flows avoid the target, and
+// if flows of the target are open here, this instance probes it. If this probe fails too, the
+// report counts as the confirmation, and the target is declared dead without indirect probes. Only
 // reports from the same zone are accepted, since a partition between zones makes each find the
 // targets of the other dead.
 //
 // If the targets of a service accept no connections from here although they answer packets, each
-// one that is slow for a moment would count as dead. So no verdict is reached about a service
-// before one of its targets has accepted a connection; two other targets are probed as controls
-// together with the first suspect.
+// one that is slow for a moment would count as dead. So this instance declares no target of a
+// service dead before one of the service has accepted a connection from it; two other targets are
+// probed as controls together with the first suspect. Without known peers, no target is declared
+// dead, since this instance's own link may be cut.
 #pragma once
 
 #include <cstddef>
@@ -58,8 +62,9 @@
     std::size_t max_verdicts = 4'096;
     // Those sent least often come first. A verdict takes 12 bytes.
     std::size_t max_verdicts_per_digest = 16;
-    // Digests that a verdict is sent with; each digest reaches several peers, which forward it.
-    int verdict_retransmissions = 3;
+    // The number of digests that carry a verdict; each digest reaches several peers. A receiver
+    // sends the reported verdict with its own digests too.
+    int max_sends_per_verdict = 3;
 };
 
 // What the failure detector needs from its environment.
@@ -70,20 +75,23 @@
     failure_detector_actions& operator=(const failure_detector_actions&) = delete;
     virtual ~failure_detector_actions() = default;
 
-    // Starts a probe; its outcome is passed to target_failure_detector::on_probe_result.
+    // Starts a probe, which is an attempt to connect to the target; its outcome is passed to
+    // target_failure_detector::on_probe_result.
     virtual void probe(const discovery::target& target) = 0;
     virtual void request_indirect_probe(const discovery::peer_entry& peer,
                                         discovery::routing_token token) = 0;
     virtual void send_indirect_probe_result(const discovery::peer_entry& peer,
                                             discovery::routing_token token, bool is_reachable) = 0;
-    // Neither this instance nor the peers in `confirmed_by` reach the target. `probed_at` is when
-    // this instance's probe began.
+    // Neither this instance nor the peers in `confirmed_by` reach the target. The list is empty if
+    // a valid verdict already existed, such as a peer's report. `probed_at` is when this instance's
+    // probe began.
     virtual void on_dead(const discovery::target& target, clock::time_point probed_at,
                          std::span<const std::string> confirmed_by, clock::time_point now) = 0;
     // A peer reports the target dead: new flows should avoid it until then.
     virtual void on_reported_dead(const discovery::target& target, clock::time_point until) = 0;
-    // The target was reached from here, which overrides reports of peers.
-    virtual void on_reached(const discovery::target& target) = 0;
+    // A target for which a verdict exists is alive: this instance has reached it, or it has written
+    // to the store. This overrides reports of peers.
+    virtual void on_found_alive(const discovery::target& target) = 0;
 };
 
 // A verdict as digests carry it.
@@ -100,7 +108,8 @@
 
     // A caller retransmitted a packet, and nothing shows that the target received the first one.
     void suspect(discovery::routing_token token, clock::time_point now);
-    // A peer's digest reports a dead target; `has_flows` is whether this instance has flows of it.
+    // A peer's digest reports a dead target; `has_flows` is whether flows of it are open here, and
+    // only then the target is probed.
     void on_reported_dead(std::string_view peer, const dead_target& report, bool has_flows,
                           clock::time_point now);
 
@@ -111,6 +120,8 @@
                                   bool is_reachable, clock::time_point now);
     // The target wrote to the store, so it is alive.
     void on_store_update(discovery::routing_token token);
+    // Drops checks and verdicts whose lifetime is over, and probes dead targets whose verdict is
+    // about to expire.
     void expire(clock::time_point now);
 
     // The verdicts to send with the next digest.
@@ -124,8 +135,10 @@
         check_phase phase = check_phase::probing;
         clock::time_point phase_since;
         clock::time_point probed_at;
-        bool is_suspected_locally = false;  // otherwise a peer requested the probe
-        bool is_reachable = true;           // valid once the probe has ended
+        // Otherwise the target is only probed as a control target or for a peer, and a failed probe
+        // leads to no verdict.
+        bool is_suspected_locally = false;
+        bool is_reachable = true;  // valid once the probe has ended
         std::vector<std::string> requesters;
         std::vector<std::string> indirect_probers;
         std::vector<std::string> confirmed_by;  // subset of indirect_probers
@@ -134,7 +147,7 @@
     struct verdict {
         clock::time_point since;
         int sent_count = 0;
-        bool is_local = false;    // reached by this instance, not only reported by a peer
+        bool is_local = false;    // decided by this instance, not only reported by a peer
         bool is_refuted = false;  // this instance has found the target alive since
     };
 
--- a/libraries/fleet/update_source_selector.cpp
+++ b/libraries/fleet/update_source_selector.cpp
@@ -19,17 +19,18 @@
     if (!stays_behind && now - initial_state_at_ < limits_.watch_start_delay) {
         return false;
     }
-    const bool was_refused =
+    const bool has_recently_failed =
         feed.failed_at() != clock::time_point{} && now - feed.failed_at() < limits_.retry_delay;
     if (stays_behind || now - confirmed_at(feed, 0) > limits_.max_confirmation_age) {
-        return !was_refused || ranks_highest(now);
+        return !has_recently_failed || ranks_highest(now);
     }
+    // After a failed call of this instance, all peers that can watch come before it.
     const auto own_rank = hash_of(self_);
     std::size_t candidates_above = 0;
     for (const auto& [name, digest] : digests_.received()) {
         const bool can_watch = digests_.is_fresh(digest, now) && !digest.content.has_lost_store &&
                                !digest.content.is_stopping;
-        candidates_above += can_watch && (was_refused || hash_of(name) > own_rank) ? 1 : 0;
+        candidates_above += can_watch && (has_recently_failed || hash_of(name) > own_rank) ? 1 : 0;
     }
     return candidates_above < limits_.watchers;
 }
--- a/services/bramleybench/overload_fleet.cpp
+++ b/services/bramleybench/overload_fleet.cpp
@@ -176,7 +176,7 @@
     fleet_.core(number_).on_target_reported_dead(target, until);
 }
 
-void overload_fleet::checks::on_reached(const discovery::target& target) {
+void overload_fleet::checks::on_found_alive(const discovery::target& target) {
     fleet_.core(number_).on_target_reached(target);
 }
 
--- a/services/bramleybench/overload_fleet.h
+++ b/services/bramleybench/overload_fleet.h
@@ -79,7 +79,7 @@
         void on_dead(const discovery::target& target, clock::time_point probed_at,
                      std::span<const std::string> confirmed_by, clock::time_point now) override;
         void on_reported_dead(const discovery::target& target, clock::time_point until) override;
-        void on_reached(const discovery::target& target) override;
+        void on_found_alive(const discovery::target& target) override;
 
     private:
         overload_fleet& fleet_;
--- a/services/bramleyd/steering_daemon.cpp
+++ b/services/bramleyd/steering_daemon.cpp
@@ -338,22 +338,22 @@
         return;
     }
     const auto now = clock::now();
-    stop_.begin(now, others_in_rotation(now));
+    stop_.begin(now, peers_in_rotation(now));
     log_.write(log_event{"stopping"}.with("grace_ms", settings_.stop_grace.count()));
     registration_.deregister(now);
     update_readiness(now);
 }
 
 void steering_daemon::stop_when_drained(clock::time_point now) {
-    if (stop_.may_end(now, last_packet_at_, others_in_rotation(now), settings_.stop_grace)) {
+    if (stop_.may_end(now, last_packet_at_, peers_in_rotation(now), settings_.stop_grace)) {
         log_.write(log_event{"stopped"}.with("after_ms", stop_.elapsed(now).count()));
         observability::flush_log();
         loop_.break_loop(ev::ALL);
     }
 }
 
-std::size_t steering_daemon::others_in_rotation(clock::time_point now) const {
-    return fleet::others_in_rotation(directory_, settings_.name, settings_.zone, now);
+std::size_t steering_daemon::peers_in_rotation(clock::time_point now) const {
+    return fleet::peers_in_rotation(directory_, settings_.name, settings_.zone, now);
 }
 
 void steering_daemon::on_reload(ev::sig& /*watcher*/, int /*events*/) {
--- a/services/bramleyd/steering_daemon.h
+++ b/services/bramleyd/steering_daemon.h
@@ -66,7 +66,7 @@
     void report_ignored_keys();
     void update_readiness(clock::time_point now);
     void stop_when_drained(clock::time_point now);
-    std::size_t others_in_rotation(clock::time_point now) const;
+    std::size_t peers_in_rotation(clock::time_point now) const;
     steering::directory_state directory_state() const;
     std::int64_t confirmed_milliseconds_ago(clock::time_point now) const;  // -1 if never
     std::string render_metrics();
--- a/services/bramleyd/target_checks.cpp
+++ b/services/bramleyd/target_checks.cpp
@@ -109,7 +109,7 @@
     core_.on_target_reported_dead(target, until);
 }
 
-void target_checks::on_reached(const discovery::target& target) {
+void target_checks::on_found_alive(const discovery::target& target) {
     core_.on_target_reached(target);
 }
 
--- a/services/bramleyd/target_checks.h
+++ b/services/bramleyd/target_checks.h
@@ -48,7 +48,7 @@
     void on_dead(const discovery::target& target, clock::time_point probed_at,
                  std::span<const std::string> confirmed_by, clock::time_point now) override;
     void on_reported_dead(const discovery::target& target, clock::time_point until) override;
-    void on_reached(const discovery::target& target) override;
+    void on_found_alive(const discovery::target& target) override;
 
     void on_dead_targets(std::string_view peer, std::span<const wire::dead_target_report> reports,
                          clock::time_point now);
--- a/tests/fleet_target_failure_detector_test.cpp
+++ b/tests/fleet_target_failure_detector_test.cpp
@@ -71,7 +71,7 @@
                               clock::time_point /*until*/) override {
             avoids_target = true;
         }
-        void on_reached(const discovery::target& /*target*/) override { avoids_target = false; }
+        void on_found_alive(const discovery::target& /*target*/) override { avoids_target = false; }
 
         fleet_target_failure_detector& fleet;
         std::string name;
@@ -221,7 +221,7 @@
     settle();
     EXPECT_FALSE(instances_[6]->has_ended_flows);
     EXPECT_FALSE(instances_[6]->avoids_target);
-    // Nor does it forward the report, or accept the same one from another peer.
+    // It doesn't forward the report either, or accept the same one from another peer.
     EXPECT_TRUE(instances_[6]->detector.take_verdicts(now_).empty());
     instances_[6]->detector.on_reported_dead("north-1", {.token = token_of_target}, true, now_);
     EXPECT_FALSE(instances_[6]->avoids_target);
@@ -399,7 +399,7 @@
 }
 
 TEST_F(fleet_target_failure_detector, sends_the_verdicts_on_many_targets_in_turn) {
-    // Guards against a lost zone of which each digest carries the same sixteen targets.
+    // Guards against digests that all carry the same sixteen targets after a zone has failed.
     constexpr int targets = 60;
     add_instances(2, "north");
     for (int i = 0; i < targets; ++i) {
--- a/tests/fleet_update_source_selector_test.cpp
+++ b/tests/fleet_update_source_selector_test.cpp
@@ -89,42 +89,42 @@
 }
 
 TEST_F(fleet_update_source_selector, leaves_the_watch_to_the_peer_that_ranks_highest) {
-    const auto other = watcher();
-    add_peer(other);
-    digests_.on_digest(other, digest(5, 100), start);
+    const auto watcher_name = watcher();
+    add_peer(watcher_name);
+    digests_.on_digest(watcher_name, digest(5, 100), start);
     EXPECT_FALSE(update_source_.should_watch(feed_, start));
     EXPECT_EQ(update_source_.confirmed_at(feed_, 5), start);
 }
 
 TEST_F(fleet_update_source_selector, watches_when_the_digests_of_the_watcher_stop) {
     // The watcher is killed immediately before a change. A change must be in force after 3 s.
-    const auto other = watcher();
-    add_peer(other);
-    digests_.on_digest(other, digest(5, 0), start);
+    const auto watcher_name = watcher();
+    add_peer(watcher_name);
+    digests_.on_digest(watcher_name, digest(5, 0), start);
     EXPECT_FALSE(update_source_.should_watch(feed_, start + clock::duration{1'200}));
     EXPECT_TRUE(update_source_.should_watch(feed_, start + clock::duration{1'300}));
 }
 
 TEST_F(fleet_update_source_selector, watches_when_the_confirmation_of_the_watcher_is_old) {
     // The watcher is silently cut off from the store, and continues to send digests.
-    const auto other = watcher();
-    add_peer(other);
-    digests_.on_digest(other, digest(5, 0), start);
+    const auto watcher_name = watcher();
+    add_peer(watcher_name);
+    digests_.on_digest(watcher_name, digest(5, 0), start);
     clock::time_point now = start;
     while (!update_source_.should_watch(feed_, now)) {
         now += clock::duration{300};
-        digests_.on_digest(other, digest(5, (now - start).count()), now);
+        digests_.on_digest(watcher_name, digest(5, (now - start).count()), now);
         ASSERT_LT(now - start, clock::duration{3'000});
     }
     EXPECT_GT(now - start, clock::duration{2'500});
 }
 
 TEST_F(fleet_update_source_selector, a_peer_that_lost_the_store_does_not_count_as_watcher) {
-    const auto other = watcher();
-    add_peer(other);
+    const auto watcher_name = watcher();
+    add_peer(watcher_name);
     auto content = digest(5, 0);
     content.has_lost_store = true;
-    digests_.on_digest(other, content, start);
+    digests_.on_digest(watcher_name, content, start);
     EXPECT_TRUE(update_source_.should_watch(feed_, start));
     EXPECT_TRUE(update_source_.had_recent_store_outage(feed_, clock::duration{2'000}, start));
     EXPECT_FALSE(update_source_.had_recent_store_outage(feed_, clock::duration{2'000},
@@ -133,21 +133,21 @@
 
 TEST_F(fleet_update_source_selector,
        an_instance_that_the_store_refuses_leaves_the_watch_to_any_peer) {
-    const std::string other = "peer";
-    add_peer(other);
-    digests_.on_digest(other, digest(5, 0), start);
+    const std::string peer_name = "peer";
+    add_peer(peer_name);
+    digests_.on_digest(peer_name, digest(5, 0), start);
     feed_.tick(start);
     store_.watches.back().done(result_code::store_unavailable, start);
     EXPECT_FALSE(update_source_.should_watch(feed_, start));
 }
 
 TEST_F(fleet_update_source_selector, fetches_from_a_peer_with_a_later_revision) {
-    const auto other = watcher();
-    add_peer(other);
-    digests_.on_digest(other, digest(9, 0), start);
+    const auto watcher_name = watcher();
+    add_peer(watcher_name);
+    digests_.on_digest(watcher_name, digest(9, 0), start);
     const auto pull = update_source_.next_pull(5, false, start);
     ASSERT_TRUE(pull);
-    EXPECT_EQ(pull->address, other + ":2");
+    EXPECT_EQ(pull->address, watcher_name + ":2");
     EXPECT_FALSE(update_source_.next_pull(9, false, start));
 }
 
@@ -194,7 +194,8 @@
 
 TEST_F(fleet_update_source_selector,
        only_the_highest_rank_keeps_querying_the_store_during_an_outage) {
-    // Guards against hundreds of instances that each query a store that is down twice a second.
+    // Guards against hundreds of instances of which each sends two calls a second to an unreachable
+    // store.
     const auto lose_store = [this](clock::time_point now) {
         feed_.reread(now);
         store_.ranges.back().done(result_code::store_unavailable, now);
@@ -203,12 +204,12 @@
     lose_store(later);
     auto content = digest(5, 4'000);
     content.has_lost_store = true;
-    const auto other = watcher();
-    digests_.on_digest(other, content, later);
+    const auto watcher_name = watcher();
+    digests_.on_digest(watcher_name, content, later);
     EXPECT_FALSE(update_source_.should_watch(feed_, later + clock::duration{100}));
-    // The other one may be wrong or gone: this instance retries after a pause, and also when it
-    // receives no digests.
-    digests_.on_digest(other, content, later + clock::duration{3'000});
+    // The peer may be wrong or gone: this instance retries after retry_delay, and also when it has
+    // no fresh digests.
+    digests_.on_digest(watcher_name, content, later + clock::duration{3'000});
     EXPECT_TRUE(update_source_.should_watch(feed_, later + clock::duration{3'000}));
     lose_store(later + clock::duration{3'000});
     EXPECT_FALSE(update_source_.should_watch(feed_, later + clock::duration{3'100}));
--- a/tests/stop_plan_test.cpp
+++ b/tests/stop_plan_test.cpp
@@ -60,10 +60,10 @@
     add("self", "north", start);
     add("near", "north", start);
     add("far", "south", start);
-    EXPECT_EQ(fleet::others_in_rotation(directory, "self", "north", at(900)), 0U);
-    EXPECT_EQ(fleet::others_in_rotation(directory, "self", "north", at(1'000)), 1U);
+    EXPECT_EQ(fleet::peers_in_rotation(directory, "self", "north", at(900)), 0U);
+    EXPECT_EQ(fleet::peers_in_rotation(directory, "self", "north", at(1'000)), 1U);
     add("near", "north", at(5'000));  // it has restarted and registers again
-    EXPECT_EQ(fleet::others_in_rotation(directory, "self", "north", at(5'500)), 0U);
+    EXPECT_EQ(fleet::peers_in_rotation(directory, "self", "north", at(5'500)), 0U);
 }
 
 }  // namespace
--- a/tests/support/steering_session.cpp
+++ b/tests/support/steering_session.cpp
@@ -97,7 +97,7 @@
     core.on_target_reported_dead(target, until);
 }
 
-void steering_session::instance_node::on_reached(const discovery::target& target) {
+void steering_session::instance_node::on_found_alive(const discovery::target& target) {
     core.on_target_reached(target);
 }
 
--- a/tests/support/steering_session.h
+++ b/tests/support/steering_session.h
@@ -53,7 +53,7 @@
         void on_dead(const discovery::target& target, clock::time_point probed_at,
                      std::span<const std::string> confirmed_by, clock::time_point now) override;
         void on_reported_dead(const discovery::target& target, clock::time_point until) override;
-        void on_reached(const discovery::target& target) override;
+        void on_found_alive(const discovery::target& target) override;
 
         steering_session& session;
         std::string name;
