--- a/services/bramleyd/steering_daemon.cpp
+++ b/services/bramleyd/steering_daemon.cpp
@@ -207,7 +207,7 @@
     if (!has_initial_state_) {
         peer_exchange_.fetch_from_seed(now);
     } else if (const auto source = update_source_.next_pull(
-                   mirror_.revision(), should_watch && !feed_.is_pausing(), now)) {
+                   mirror_.revision(), should_watch && !feed_.is_idle(), now)) {
         peer_exchange_.fetch(*source, now);
     }
     const bool has_lost_store = feed_.failed_at() != clock::time_point{};
@@ -338,22 +338,22 @@
         return;
     }
     const auto now = clock::now();
-    stop_.begin(now, others_in_rotation(now));
+    stop_.begin(now, peers_in_rotation(now));
     log_.write(log_event{"stopping"}.with("grace_ms", settings_.stop_grace.count()));
     registration_.deregister(now);
     update_readiness(now);
 }
 
 void steering_daemon::stop_when_drained(clock::time_point now) {
-    if (stop_.may_end(now, last_packet_at_, others_in_rotation(now), settings_.stop_grace)) {
+    if (stop_.may_end(now, last_packet_at_, peers_in_rotation(now), settings_.stop_grace)) {
         log_.write(log_event{"stopped"}.with("after_ms", stop_.elapsed(now).count()));
         observability::flush_log();
         loop_.break_loop(ev::ALL);
     }
 }
 
-std::size_t steering_daemon::others_in_rotation(clock::time_point now) const {
-    return fleet::others_in_rotation(directory_, settings_.name, settings_.zone, now);
+std::size_t steering_daemon::peers_in_rotation(clock::time_point now) const {
+    return fleet::peers_in_rotation(directory_, settings_.name, settings_.zone, now);
 }
 
 void steering_daemon::on_reload(ev::sig& /*watcher*/, int /*events*/) {
