--- a/libraries/steering/admission.cpp
+++ b/libraries/steering/admission.cpp
@@ -8,8 +8,8 @@
 // A share of a small target's capacity can be less than one request and would keep it idle.
 constexpr double min_capacity = 1;
 
-double capacity_of(double slots, double share) {
-    return open_requests_per_slot * slots * share;
+double capacity_of(double slots, double capacity_fraction) {
+    return open_requests_per_slot * slots * capacity_fraction;
 }
 
 }  // namespace
@@ -17,11 +17,11 @@
 void service_usage::add(const target_usage& target) {
     const double open = target.local + target.remote;
     const double capacity = capacity_of(target.slots, 1);
-    const double counted_share = open > capacity ? capacity / open : 1;
+    const double counted_fraction = open > capacity ? capacity / open : 1;
     slots_ += target.slots;
-    local_ += target.local * counted_share;
-    remote_ += target.remote * counted_share;
-    remote_over_capacity_ += target.remote * (1 - counted_share);
+    local_ += target.local * counted_fraction;
+    remote_ += target.remote * counted_fraction;
+    remote_over_capacity_ += target.remote * (1 - counted_fraction);
 }
 
 void service_usage::add(const service_usage& others) {
@@ -35,21 +35,21 @@
     remote_ = std::max(remote_, open - remote_over_capacity_);
 }
 
-double service_usage::local_demand_share() const {
+double service_usage::local_demand_fraction() const {
     const double total = demand_.local + demand_.remote;
     return total > 0 ? demand_.local / total : 1;
 }
 
-bool has_capacity(const target_usage& target, double share) {
+bool has_capacity(const target_usage& target, double capacity_fraction) {
     return target.local + target.remote + 1 <=
-           std::max(min_capacity, capacity_of(target.slots, share));
+           std::max(min_capacity, capacity_of(target.slots, capacity_fraction));
 }
 
-bool has_capacity(const service_usage& service, double share) {
-    const double capacity = capacity_of(service.slots(), share);
+bool has_capacity(const service_usage& service, double capacity_fraction) {
+    const double capacity = capacity_of(service.slots(), capacity_fraction);
     return service.open_local() + service.open_remote() + 1 <= capacity ||
            service.open_local() + 1 <=
-               std::max(min_capacity, capacity * service.local_demand_share());
+               std::max(min_capacity, capacity * service.local_demand_fraction());
 }
 
 }  // namespace bramleytrack::steering
--- a/libraries/steering/admission.h
+++ b/libraries/steering/admission.h
@@ -27,7 +27,7 @@
 };
 
 // Recent demand for a service: requests begun, and openings whatever their outcome.
-struct service_demand_split {
+struct local_and_remote_demand {
     double local = 0;
     double remote = 0;
 };
@@ -36,7 +36,7 @@
 class service_usage {
 public:
     service_usage() = default;
-    explicit service_usage(const service_demand_split& demand) : demand_{demand} {}
+    explicit service_usage(const local_and_remote_demand& demand) : demand_{demand} {}
 
     // Counts a target for no more than its capacity. Slow targets collect requests of their
     // existing flows; counted in full, these would use up the service's capacity while its other
@@ -55,12 +55,12 @@
     double slots() const { return slots_; }
     double open_local() const { return local_; }
     double open_remote() const { return remote_; }
-    const service_demand_split& demand() const { return demand_; }
+    const local_and_remote_demand& demand() const { return demand_; }
     // This instance's share of the total demand, from 0 to 1; 1 when no demand is known.
-    double local_demand_share() const;
+    double local_demand_fraction() const;
 
 private:
-    service_demand_split demand_;
+    local_and_remote_demand demand_;
     double slots_ = 0;
     double local_ = 0;
     double remote_ = 0;
@@ -72,17 +72,17 @@
 constexpr double open_requests_per_slot = 2;
 // The share of the capacity for routes whose priority is lower than that of others with current
 // demand.
-constexpr double lower_priority_capacity_share = 0.88;
+constexpr double lower_priority_capacity_fraction = 0.88;
 // From this value of service_demand::recent_higher_priority on, routes of lower priority are
 // capped: one request within the last third of a second.
 constexpr double min_higher_priority_demand = 0.5;
 // The share of the capacity for callers that already have more than their share of it, see
 // caller_shares.
-constexpr double heavy_caller_capacity_share = 0.75;
+constexpr double heavy_caller_capacity_fraction = 0.75;
 
 // `share` is the part of the capacity that the flow may use. A target without open requests always
 // has capacity.
-bool has_capacity(const target_usage& target, double share);
-bool has_capacity(const service_usage& service, double share);
+bool has_capacity(const target_usage& target, double capacity_fraction);
+bool has_capacity(const service_usage& service, double capacity_fraction);
 
 }  // namespace bramleytrack::steering
--- a/libraries/steering/cold_gate.cpp
+++ b/libraries/steering/cold_gate.cpp
@@ -37,7 +37,7 @@
         return false;
     }
     auto& allowance = allowances_.try_emplace(target.token, limits_.burst).first->second;
-    return allowance.refill(flows_per_second * limits_.share, now) >= 1;
+    return allowance.refill(flows_per_second * limits_.rate_fraction, now) >= 1;
 }
 
 void cold_gate::on_flow_opened(const discovery::target& target, clock::time_point now) {
--- a/libraries/steering/cold_gate.h
+++ b/libraries/steering/cold_gate.h
@@ -25,7 +25,7 @@
 struct cold_gate_limits {
     // The share of the target's rate limit that one owner uses; two owners at once stay below the
     // limit.
-    double share = 0.4;
+    double rate_fraction = 0.4;
     double burst = 2;
     // After its own registration becomes visible, an instance waits until it must have received
     // those of all instances that started at the same time.
--- a/libraries/steering/decision_log.cpp
+++ b/libraries/steering/decision_log.cpp
@@ -63,7 +63,7 @@
     } else {
         constexpr double percent = 100;
         event.with("caller_over_share", is_heavy ? "yes" : "no")
-            .with("room_percent", std::llround(percent * entry.capacity_share))
+            .with("room_percent", std::llround(percent * entry.capacity_fraction))
             .with("slots", std::llround(entry.usage.slots()))
             .with("open_here", std::llround(entry.usage.open_local()))
             .with("open_elsewhere", std::llround(entry.usage.open_remote()))
--- a/libraries/steering/decision_log.h
+++ b/libraries/steering/decision_log.h
@@ -24,8 +24,8 @@
     std::string_view service;                 // "none" without a route
     const discovery::route* route = nullptr;  // null without a route
     const decision& outcome;
-    std::size_t candidates = 0;  // targets that were eligible for the flow
-    double capacity_share = 1;   // below 1 for a lower-priority route or a heavy caller
+    std::size_t candidates = 0;    // targets that were eligible for the flow
+    double capacity_fraction = 1;  // below 1 for a lower-priority route or a heavy caller
     const service_usage& usage;
 };
 
--- a/libraries/steering/flow_tracker.cpp
+++ b/libraries/steering/flow_tracker.cpp
@@ -9,7 +9,7 @@
 // A moving average over about eight responses follows a target that becomes slow within a second.
 constexpr double response_time_weight = 0.125;
 constexpr int max_ejection_doublings = 2;
-constexpr int min_repeats_of_silent_flow = 2;
+constexpr int min_retransmissions_of_silent_flow = 2;
 
 // Serial number arithmetic (RFC 1982): sequence numbers wrap around.
 bool is_after(std::uint32_t left, std::uint32_t right) {
@@ -23,12 +23,13 @@
     return found == flows_.end() ? nullptr : &found->second;
 }
 
-std::optional<routing_token> flow_tracker::find_recent_opening(const segment& copy,
-                                                               clock::time_point now) const {
+std::optional<routing_token> flow_tracker::find_token_of_recent_opening(
+    const segment& copy, clock::time_point now) const {
     const auto* flow = find(copy.flow);
     const bool is_same = flow != nullptr && !flow->is_established && flow->token != 0 &&
                          flow->opening_sequence == copy.sequence;
-    const bool is_too_early = is_same && now - flow->opened_at < limits_.min_copy_interval;
+    const bool is_too_early =
+        is_same && now - flow->opened_at < limits_.min_retransmission_interval;
     return is_too_early ? std::optional{flow->token} : std::nullopt;
 }
 
@@ -36,7 +37,7 @@
                                                                      clock::time_point now) {
     const auto found = flows_.find(key);
     if (found == flows_.end() || found->second.is_established ||
-        now - found->second.opened_at < limits_.min_copy_interval) {
+        now - found->second.opened_at < limits_.min_retransmission_interval) {
         return std::nullopt;
     }
     auto& health = health_[found->second.token];
@@ -73,24 +74,25 @@
             .is_request_sent = false};
     auto& health = health_[token];
     ++health.flows;
-    health.opened_at = now;
+    health.last_opening_at = now;
     begin_request(opening.flow, flow);
-    openings_awaiting_request_.emplace_back(opening.flow, now);
-    openings_awaiting_response_.emplace_back(opening.flow, now);
+    openings_to_check_for_request_.emplace_back(opening.flow, now);
+    openings_to_check_for_response_.emplace_back(opening.flow, now);
 }
 
 std::vector<routing_token> flow_tracker::take_abandoned_openings(clock::time_point now) {
     std::vector<routing_token> result;
-    while (!openings_awaiting_response_.empty() &&
-           now - openings_awaiting_response_.front().second >= limits_.opening_response_timeout) {
-        const auto& [key, opened_at] = openings_awaiting_response_.front();
+    while (!openings_to_check_for_response_.empty() &&
+           now - openings_to_check_for_response_.front().second >=
+               limits_.opening_response_timeout) {
+        const auto& [key, opened_at] = openings_to_check_for_response_.front();
         const auto* flow = find(key);
         const bool is_abandoned =
             flow != nullptr && !flow->is_established && flow->opened_at == opened_at;
         if (is_abandoned && health(flow->token).last_response_at <= opened_at) {
             result.push_back(flow->token);
         }
-        openings_awaiting_response_.pop_front();
+        openings_to_check_for_response_.pop_front();
     }
     return result;
 }
@@ -108,8 +110,8 @@
         flow.is_established = true;
         flow.acknowledged = packet.acknowledged;
         flow.next_sequence = packet.sequence;
-        result.is_opening_answered = true;
-        result.opening_response_time = now - flow.opened_at;
+        result.is_opening_accepted = true;
+        result.opening_acceptance_time = now - flow.opened_at;
         record_response(health_[flow.token], now);
     }
     if (packet.length > 0) {
@@ -158,11 +160,11 @@
                                clock::time_point now) {
     const auto end = packet.sequence + packet.length;
     if (!is_after(end, flow.next_sequence)) {
-        record_repeat(flow, result, now);
+        record_retransmission(flow, result, now);
         return;
     }
     flow.next_sequence = end;
-    flow.repeats = 0;
+    flow.retransmissions = 0;
     flow.is_counted_as_silent = false;
     // Data that acknowledges more than before begins the next request, even if the previous
     // response was acknowledged through another instance. Other data belongs to the open request.
@@ -177,15 +179,16 @@
     flow.request_at = now;
 }
 
-void flow_tracker::record_repeat(flow_state& flow, observation& result, clock::time_point now) {
+void flow_tracker::record_retransmission(flow_state& flow, observation& result,
+                                         clock::time_point now) {
     auto& health = health_[flow.token];
-    ++flow.repeats;
-    result.repeats = flow.repeats;
+    ++flow.retransmissions;
+    result.retransmissions = flow.retransmissions;
     const bool has_responded = health.last_response_at > flow.request_at;
     const auto waited = now - flow.request_at;
-    result.is_target_suspect = !has_responded && waited >= limits_.min_copy_interval;
+    result.is_target_suspect = !has_responded && waited >= limits_.min_retransmission_interval;
     result.is_target_dead = result.is_target_suspect && now < health.dead_until;
-    if (flow.repeats < min_repeats_of_silent_flow || has_responded ||
+    if (flow.retransmissions < min_retransmissions_of_silent_flow || has_responded ||
         waited < limits_.min_silence) {
         return;
     }
@@ -213,7 +216,7 @@
     }
     result.is_request_answered = true;
     result.answer_time = now - flow.request_at;
-    path_.on_answer(flow.repeats > 0, now);
+    path_.on_answer(flow.retransmissions > 0, now);
     const auto sample = static_cast<double>(result.answer_time.count());
     health.answer_ms +=
         health.answer_ms == 0 ? sample : (sample - health.answer_ms) * response_time_weight;
@@ -248,15 +251,15 @@
 // requests they would use up the targets' capacity, and new callers would be rejected although
 // targets are idle.
 void flow_tracker::end_openings_without_request(clock::time_point now) {
-    while (!openings_awaiting_request_.empty() &&
-           now - openings_awaiting_request_.front().second >= limits_.max_first_request_delay) {
-        const auto& [key, opened_at] = openings_awaiting_request_.front();
+    while (!openings_to_check_for_request_.empty() &&
+           now - openings_to_check_for_request_.front().second >= limits_.max_first_request_delay) {
+        const auto& [key, opened_at] = openings_to_check_for_request_.front();
         const auto found = flows_.find(key);
         if (found != flows_.end() && !found->second.is_request_sent &&
             found->second.opened_at <= opened_at) {
             end_request(key, found->second);
         }
-        openings_awaiting_request_.pop_front();
+        openings_to_check_for_request_.pop_front();
     }
 }
 
@@ -286,7 +289,7 @@
         const bool is_considered_dead =
             now < std::max(health.reported_dead_until, health.dead_until);
         return health.flows == 0 && !is_considered_dead &&
-               now - health.opened_at > limits_.idle_lifetime;
+               now - health.last_opening_at > limits_.idle_lifetime;
     });
 }
 
--- a/libraries/steering/flow_tracker.h
+++ b/libraries/steering/flow_tracker.h
@@ -37,7 +37,7 @@
     clock::time_point reported_dead_until;  // by peers; gets no new flows until then
     clock::time_point dead_until;           // found dead here; its flows are ended
     clock::time_point last_response_at;     // when the target last responded
-    clock::time_point opened_at;            // when an opening was last placed on it
+    clock::time_point last_opening_at;      // when an opening was last placed on it
 };
 
 struct flow_state {
@@ -52,17 +52,17 @@
     bool has_open_request = false;      // counted in target_health::open_requests
     bool is_request_sent = false;       // its first byte was forwarded; request_at is valid
     bool is_counted_as_silent = false;  // in target_health::silent_flows
-    int repeats = 0;                    // retransmissions of the newest data
+    int retransmissions = 0;            // retransmissions of the newest data
 };
 
 // What a packet of an established flow showed.
 struct observation {
-    bool is_opening_answered = false;  // the target accepted the flow
-    clock::duration opening_response_time{0};
+    bool is_opening_accepted = false;  // the target accepted the flow
+    clock::duration opening_acceptance_time{0};
     bool is_request_begun = false;     // other than the one counted by the flow's opening
     bool is_request_answered = false;  // the target responded to a request
     clock::duration answer_time{0};
-    int repeats = 0;  // how often the caller had sent this data before
+    int retransmissions = 0;  // how often the caller had sent this data before
     // The caller retransmits its data, and the target has not responded since it was first sent.
     bool is_target_suspect = false;
     bool is_target_silent = false;  // see target_health::silent_flows
@@ -86,7 +86,7 @@
     // Callers send the first retransmission of a packet after 200 ms. One that arrives sooner was
     // queued in this instance's socket together with the original, and indicates nothing about the
     // target.
-    clock::duration min_copy_interval{100};
+    clock::duration min_retransmission_interval{100};
     // A caller sends its request as soon as the target has answered the opening. An opening without
     // a request by then no longer counts as an open request: its caller has given up, or its target
     // is dead.
@@ -118,8 +118,8 @@
     }
     // Returns the token of the target that got the original of this opening packet, if that was so
     // recent that both must have been queued in this instance's socket.
-    std::optional<routing_token> find_recent_opening(const segment& copy,
-                                                     clock::time_point now) const;
+    std::optional<routing_token> find_token_of_recent_opening(const segment& copy,
+                                                              clock::time_point now) const;
     // The target chosen for an earlier copy of this opening packet did not respond. Ejects it and
     // returns its token, unless it has responded to other flows since or the flow has no record
     // here.
@@ -161,7 +161,7 @@
     flow_state* find_or_create(const segment& packet, bool is_end, clock::time_point now);
     void record_data(flow_state& flow, const segment& packet, observation& result,
                      clock::time_point now);
-    void record_repeat(flow_state& flow, observation& result, clock::time_point now);
+    void record_retransmission(flow_state& flow, observation& result, clock::time_point now);
     void record_acknowledgement(flow_state& flow, const segment& packet, observation& result,
                                 clock::time_point now);
     void begin_request(const flow_key& key, flow_state& flow);
@@ -173,9 +173,9 @@
     flow_tracker_limits limits_;
     std::unordered_map<flow_key, flow_state, flow_key_hash> flows_;
     // Openings, oldest first, including those that a request has followed since.
-    std::deque<std::pair<flow_key, clock::time_point>> openings_awaiting_request_;
+    std::deque<std::pair<flow_key, clock::time_point>> openings_to_check_for_request_;
     // The newest of them, whose response timeout has not passed yet.
-    std::deque<std::pair<flow_key, clock::time_point>> openings_awaiting_response_;
+    std::deque<std::pair<flow_key, clock::time_point>> openings_to_check_for_response_;
     std::unordered_map<routing_token, target_health> health_;
     caller_shares callers_;
     path_health path_;
--- a/libraries/steering/load_estimate.cpp
+++ b/libraries/steering/load_estimate.cpp
@@ -30,7 +30,7 @@
 }
 
 service_usage load_estimate::usage_of(const discovery::pool& pool,
-                                      const service_demand_split& demand,
+                                      const local_and_remote_demand& demand,
                                       const zone_filter& is_allowed, clock::time_point now) {
     const auto& cached = totals_of(pool, now);
     service_usage result{demand};
--- a/libraries/steering/load_estimate.h
+++ b/libraries/steering/load_estimate.h
@@ -35,7 +35,7 @@
     // The usage of the service's targets that accept flows and aren't cold, in the zones for which
     // `is_allowed` holds. Ejected targets are left out, unless they are more than half.
     using zone_filter = std::function<bool(std::string_view zone)>;
-    service_usage usage_of(const discovery::pool& pool, const service_demand_split& demand,
+    service_usage usage_of(const discovery::pool& pool, const local_and_remote_demand& demand,
                            const zone_filter& is_allowed, clock::time_point now);
     // A flow was placed on a target of the service.
     void on_flow_placed(std::string_view service);
--- a/libraries/steering/path_health.h
+++ b/libraries/steering/path_health.h
@@ -17,7 +17,7 @@
     // A link that loses one packet in ten makes callers retransmit one request in ten. Three copies
     // are then lost together once in a thousand times, and those of two flows of one target, with
     // nothing from it arriving in between, practically never.
-    double max_repeated_share = 0.1;
+    double max_retransmitted_fraction = 0.1;
     // The weight of an answer halves in this time. Links stay saturated for seconds.
     clock::duration half_life{1'000};
 };
@@ -27,20 +27,20 @@
     explicit path_health(path_limits limits = {}) : limits_{limits} {}
 
     // A target acknowledged or sent anything.
-    void on_response(clock::time_point now) { answered_at_ = now; }
-    // A target answered a request, which the caller had retransmitted if `was_repeated`.
+    void on_response(clock::time_point now) { last_response_at_ = now; }
+    // A target answered a request, which the caller had retransmitted if `was_retransmitted`.
     // Acknowledgements of long transfers don't count: they come from callers, whatever this
     // instance's link loses.
-    void on_answer(bool was_repeated, clock::time_point now);
+    void on_answer(bool was_retransmitted, clock::time_point now);
     bool is_healthy(clock::time_point now) const;
     // When any target last responded through this instance.
-    clock::time_point answered_at() const { return answered_at_; }
+    clock::time_point last_response_at() const { return last_response_at_; }
 
 private:
     path_limits limits_;
-    clock::time_point answered_at_;
-    double answers_ = 0;           // decayed, as of counted_at_
-    double repeated_answers_ = 0;  // those of them to retransmitted requests
+    clock::time_point last_response_at_;
+    double answers_ = 0;                // decayed, as of counted_at_
+    double retransmitted_answers_ = 0;  // those of them to retransmitted requests
     clock::time_point counted_at_;
 };
 
--- a/libraries/steering/placement.cpp
+++ b/libraries/steering/placement.cpp
@@ -22,10 +22,10 @@
 // The group's members, sorted by rendezvous score. Only the first few are used.
 std::vector<ranked_candidate> rank_by_score(std::span<const candidate> candidates,
                                             std::uint64_t flow_hash,
-                                            bool (*is_member)(const candidate&)) {
+                                            bool (*filter)(const candidate&)) {
     std::vector<ranked_candidate> result;
     for (std::size_t i = 0; i < candidates.size(); ++i) {
-        if (is_member(candidates[i])) {
+        if (filter(candidates[i])) {
             result.push_back(
                 {.score = hash_of(flow_hash, candidates[i].target->token), .index = i});
         }
@@ -36,8 +36,8 @@
 
 std::optional<std::size_t> choose_less_loaded(std::span<const candidate> candidates,
                                               std::uint64_t flow_hash, std::uint32_t copy,
-                                              bool (*is_member)(const candidate&)) {
-    const auto order = rank_by_score(candidates, flow_hash, is_member);
+                                              bool (*filter)(const candidate&)) {
+    const auto order = rank_by_score(candidates, flow_hash, filter);
     if (order.empty()) {
         return std::nullopt;
     }
@@ -73,8 +73,8 @@
             return !each.is_ejected && each.has_capacity && each.is_in_same_region;
         },
         [](const candidate& each) { return !each.is_ejected && each.has_capacity; }};
-    for (const auto is_member : preferred) {
-        if (const auto found = choose_less_loaded(candidates, flow_hash, copy, is_member)) {
+    for (const auto filter : preferred) {
+        if (const auto found = choose_less_loaded(candidates, flow_hash, copy, filter)) {
             return *found;
         }
     }
--- a/libraries/steering/steering.cpp
+++ b/libraries/steering/steering.cpp
@@ -85,7 +85,7 @@
                       .route = route,
                       .outcome = outcome,
                       .candidates = targets.candidates.size(),
-                      .capacity_share = targets.capacity_share,
+                      .capacity_fraction = targets.capacity_fraction,
                       .usage = targets.usage},
                      now);
         return outcome;
@@ -103,7 +103,7 @@
                            : decision{drop{result_code::unknown_route}});
     }
     flows_.record_attempt(packet.flow, now);
-    if (const auto* original_target = find_recent_opening(packet, now)) {
+    if (const auto* original_target = find_target_of_recent_opening(packet, now)) {
         return record_outcome(forward{original_target});
     }
     if (packet.copy > 0) {
@@ -122,8 +122,8 @@
     }
     const auto choice = choose(targets.candidates, flow_hash, packet.copy);
     if (const auto* failure = std::get_if<placement_failure>(&choice)) {
-        return record_outcome(
-            reject(packet, *failure, targets.has_held_back_cold_target, is_state_fresh));
+        return record_outcome(on_placement_failure(
+            packet, *failure, targets.has_held_back_cold_target, is_state_fresh));
     }
     const auto& target = *targets.candidates[std::get<std::size_t>(choice)].target;
     cold_gate_.on_flow_opened(target, now);
@@ -137,21 +137,22 @@
 // queue there and are then read within a few milliseconds. Taken for signs of targets that do not
 // respond, they would get most targets ejected and callers rejected although targets are idle, and
 // two targets would accept the same flow. The retransmission therefore goes to the same target.
-const discovery::target* steering::find_recent_opening(const segment& packet,
-                                                       clock::time_point now) const {
-    const auto token = packet.copy > 0 ? flows_.find_recent_opening(packet, now) : std::nullopt;
+const discovery::target* steering::find_target_of_recent_opening(const segment& packet,
+                                                                 clock::time_point now) const {
+    const auto token =
+        packet.copy > 0 ? flows_.find_token_of_recent_opening(packet, now) : std::nullopt;
     const auto* target = token.has_value() ? directory_.find_target(*token) : nullptr;
-    const bool can_accept_copy =
+    const bool can_accept_retransmission =
         target != nullptr && load_estimate_.accepts_flows(*target, now) && !target->is_cold(now);
-    return can_accept_copy ? target : nullptr;
+    return can_accept_retransmission ? target : nullptr;
 }
 
 // A caller that cannot be served in time is reset at once: its wait would delay others, and the
 // rejection is safe because nothing has run. If a cold target was held back, the packet is dropped
 // instead, since that target may accept the retransmission 200 ms later. It is also dropped while
 // the directory is stale, since a target may have been added that it does not list yet.
-decision steering::reject(const segment& packet, placement_failure reason,
-                          bool has_held_back_cold_target, bool is_state_fresh) {
+decision steering::on_placement_failure(const segment& packet, placement_failure reason,
+                                        bool has_held_back_cold_target, bool is_state_fresh) {
     if (reason == placement_failure::saturated) {
         return refuse{{.flow = packet.flow}, result_code::queue_full};
     }
@@ -168,7 +169,7 @@
         log_.undelivered_packet(packet, outcome, now);
         return outcome;
     };
-    if (is_route_removed_since_opening(packet, state, now)) {
+    if (is_ended_by_route_removal(packet, state, now)) {
         return record_outcome(refuse{{.flow = packet.flow, .sequence = packet.acknowledged},
                                      result_code::unknown_route});
     }
@@ -184,8 +185,8 @@
         demands_[target->entry.service].on_request(
             route == nullptr ? lowest_priority : route->priority, now);
     }
-    if (observed.is_opening_answered) {
-        observer_.on_opening_answered(*target, observed.opening_response_time);
+    if (observed.is_opening_accepted) {
+        observer_.on_opening_answered(*target, observed.opening_acceptance_time);
     }
     if (observed.is_request_answered) {
         observer_.on_answer(*target, observed.answer_time);
@@ -247,11 +248,11 @@
 // and an instance that has not received the addition would reset flows opened through other
 // instances. So only flows that were seen here before the removal are ended, and only while the
 // directory was confirmed recently.
-bool steering::is_route_removed_since_opening(const segment& packet, const directory_state& state,
-                                              clock::time_point now) const {
-    const auto route_dropped_at = directory_.route_dropped_at(packet.flow.route);
+bool steering::is_ended_by_route_removal(const segment& packet, const directory_state& state,
+                                         clock::time_point now) const {
+    const auto removed_at = directory_.route_dropped_at(packet.flow.route);
     const auto* flow = flows_.find(packet.flow);
-    return route_dropped_at.has_value() && flow != nullptr && flow->opened_at < *route_dropped_at &&
+    return removed_at.has_value() && flow != nullptr && flow->opened_at < *removed_at &&
            now - state.confirmed <= limits_.max_refusal_staleness;
 }
 
@@ -261,7 +262,7 @@
 std::optional<result_code> steering::reset_reason(const discovery::target& target,
                                                   const discovery::route* route,
                                                   const observation& observed) const {
-    if (observed.repeats == 0) {
+    if (observed.retransmissions == 0) {
         return std::nullopt;
     }
     // A missing entry alone proves nothing: it expires during a store outage, and can be removed by
@@ -269,15 +270,15 @@
     // A target that drained before its entry was removed has ended, and one is enough.
     const bool has_not_responded = flows_.health(target.token).last_response_at < target.changed_at;
     const bool is_gone = !target.is_listed() && !target.presumed_alive_until.has_value();
-    const int min_repeats = target.removal == discovery::removal_reason::drained ? 1 : 2;
-    if (is_gone && has_not_responded && observed.repeats >= min_repeats) {
+    const int min_retransmissions = target.removal == discovery::removal_reason::drained ? 1 : 2;
+    if (is_gone && has_not_responded && observed.retransmissions >= min_retransmissions) {
         return result_code::target_gone;
     }
     // The entry of a target that has just died remains listed for some seconds. Callers repeat only
     // idempotent requests, so a reset gains nothing on other routes.
-    const bool may_repeat = route != nullptr && route->is_idempotent;
-    return observed.is_target_silent && may_repeat ? std::optional{result_code::target_silent}
-                                                   : std::nullopt;
+    const bool may_retry = route != nullptr && route->is_idempotent;
+    return observed.is_target_silent && may_retry ? std::optional{result_code::target_silent}
+                                                  : std::nullopt;
 }
 
 const discovery::pool* steering::choose_pool(const discovery::route& route,
@@ -299,7 +300,7 @@
     return nullptr;
 }
 
-service_demand_split steering::demand_of(std::string_view service, clock::time_point now) const {
+local_and_remote_demand steering::demand_of(std::string_view service, clock::time_point now) const {
     const auto found = demands_.find(service);
     return {.local = found == demands_.end() ? 0 : found->second.recent(now),
             .remote = remote_load_.demand_remote(service, now)};
@@ -326,23 +327,23 @@
 
 // When capacity is short, the first to be rejected are callers of routes with a lower priority than
 // another route of the service that has demand, and callers that already exceed their fair share.
-double steering::capacity_share(const discovery::pool& pool, const discovery::route& route,
-                                const flow_key& flow, clock::time_point now) const {
+double steering::capacity_fraction(const discovery::pool& pool, const discovery::route& route,
+                                   const flow_key& flow, clock::time_point now) const {
     const auto demand = demands_.find(pool.description.name);
     const bool has_higher_priority_demand =
         demand != demands_.end() &&
         demand->second.recent_higher_priority(route.priority, now) >= min_higher_priority_demand;
-    double share = 1;
-    share *= has_higher_priority_demand ? lower_priority_capacity_share : 1;
-    share *= flows_.callers().is_heavy(flow.caller.address) ? heavy_caller_capacity_share : 1;
-    return share;
+    double fraction = 1;
+    fraction *= has_higher_priority_demand ? lower_priority_capacity_fraction : 1;
+    fraction *= flows_.callers().is_heavy(flow.caller.address) ? heavy_caller_capacity_fraction : 1;
+    return fraction;
 }
 
 std::vector<const discovery::target*> steering::sample_pool(const discovery::pool& pool,
                                                             const discovery::route& route,
                                                             std::uint64_t flow_hash) const {
     enum tier : std::size_t { same_zone, same_region, other_region, tier_count };
-    constexpr std::array<std::size_t, tier_count> samples{
+    constexpr std::array<std::size_t, tier_count> sample_sizes{
         same_zone_sample_size, same_region_sample_size, remote_region_sample_size};
     std::array<std::vector<std::span<discovery::target* const>>, tier_count> lists;
     for (const auto& [zone, targets] : pool.by_zone) {
@@ -357,7 +358,7 @@
     }
     std::vector<const discovery::target*> result;
     for (std::size_t each = same_zone; each < tier_count; ++each) {
-        const auto sample = sample_targets(lists.at(each), flow_hash, samples.at(each));
+        const auto sample = sample_targets(lists.at(each), flow_hash, sample_sizes.at(each));
         result.insert(result.end(), sample.begin(), sample.end());
     }
     return result;
@@ -368,11 +369,11 @@
                                                            const segment& packet,
                                                            clock::time_point now) {
     eligible_targets result;
-    result.capacity_share = capacity_share(pool, route, packet.flow, now);
+    result.capacity_fraction = capacity_fraction(pool, route, packet.flow, now);
     result.usage = load_estimate_.usage_of(
         pool, demand_of(pool.description.name, now),
         [this, &route](std::string_view zone) { return is_allowed(route, zone); }, now);
-    const bool has_service_capacity = has_capacity(result.usage, result.capacity_share);
+    const bool has_service_capacity = has_capacity(result.usage, result.capacity_fraction);
     for (const auto* each : sample_pool(pool, route, hash_of_flow(packet))) {
         if (!each->accepts_new_flows(now)) {
             continue;
@@ -390,7 +391,7 @@
              .is_in_same_region = region_of(each->entry.zone) == region_of(location_.zone),
              .is_in_same_zone = each->entry.zone == location_.zone,
              .is_ejected = load_estimate_.is_ejected(*each, now),
-             .has_capacity = has_service_capacity && has_capacity(usage, result.capacity_share),
+             .has_capacity = has_service_capacity && has_capacity(usage, result.capacity_fraction),
              .load = (usage.local + usage.remote + 1) / usage.slots,
              .answer_ms = flows_.health(each->token).answer_ms});
     }
--- a/libraries/steering/steering.h
+++ b/libraries/steering/steering.h
@@ -98,25 +98,25 @@
         std::vector<candidate> candidates;
         service_usage usage;
         bool has_held_back_cold_target = false;  // that is otherwise eligible
-        double capacity_share = 1;               // of the capacity that this flow may use
+        double capacity_fraction = 1;            // of the capacity that this flow may use
     };
 
-    const discovery::target* find_recent_opening(const segment& packet,
-                                                 clock::time_point now) const;
-    static decision reject(const segment& packet, placement_failure reason,
-                           bool has_held_back_cold_target, bool is_state_fresh);
+    const discovery::target* find_target_of_recent_opening(const segment& packet,
+                                                           clock::time_point now) const;
+    static decision on_placement_failure(const segment& packet, placement_failure reason,
+                                         bool has_held_back_cold_target, bool is_state_fresh);
     decision on_established_packet(const segment& packet, const directory_state& state,
                                    clock::time_point now);
     void end_flows_of(const discovery::target& target, clock::time_point now);
-    bool is_route_removed_since_opening(const segment& packet, const directory_state& state,
-                                        clock::time_point now) const;
+    bool is_ended_by_route_removal(const segment& packet, const directory_state& state,
+                                   clock::time_point now) const;
     std::optional<result_code> reset_reason(const discovery::target& target,
                                             const discovery::route* route,
                                             const observation& observed) const;
     const discovery::pool* choose_pool(const discovery::route& route,
                                        std::uint64_t flow_hash) const;
-    double capacity_share(const discovery::pool& pool, const discovery::route& route,
-                          const flow_key& flow, clock::time_point now) const;
+    double capacity_fraction(const discovery::pool& pool, const discovery::route& route,
+                             const flow_key& flow, clock::time_point now) const;
     eligible_targets find_eligible_targets(const discovery::pool& pool,
                                            const discovery::route& route, const segment& packet,
                                            clock::time_point now);
@@ -126,7 +126,7 @@
                                                       std::uint64_t flow_hash) const;
     std::string_view region_of(std::string_view zone) const;
     bool is_allowed(const discovery::route& route, std::string_view zone) const;
-    service_demand_split demand_of(std::string_view service, clock::time_point now) const;
+    local_and_remote_demand demand_of(std::string_view service, clock::time_point now) const;
 
     location location_;
     const discovery::directory& directory_;
--- a/services/bramleyd/steering_daemon.cpp
+++ b/services/bramleyd/steering_daemon.cpp
@@ -315,7 +315,7 @@
     // reports that it is not ready and is taken out of rotation. An instance that still receives
     // responses from targets stays ready, because it may be the only one left in its zone.
     const bool is_receiving_from_targets =
-        now - steering_.flows().path().answered_at() <= max_target_silence;
+        now - steering_.flows().path().last_response_at() <= max_target_silence;
     const bool is_fully_isolated =
         !is_receiving_from_targets && update_source_.is_isolated(feed_, now);
     const bool is_ready = directory_state().is_complete && !stop_.is_begun() && !is_fully_isolated;
--- a/tests/steering_admission_test.cpp
+++ b/tests/steering_admission_test.cpp
@@ -23,7 +23,7 @@
 
 // A service of `targets` targets with two slots each, with the open requests spread evenly.
 service_usage service(int targets, double local, double remote,
-                      steering::service_demand_split demand) {
+                      steering::local_and_remote_demand demand) {
     service_usage result{demand};
     for (int i = 0; i < targets; ++i) {
         result.add({.slots = 2, .local = local / targets, .remote = remote / targets});
@@ -83,13 +83,13 @@
 TEST(admission, a_route_of_lower_priority_is_rejected_first) {
     const auto nearly_full = service(14, 18, 33, {.local = 10, .remote = 20});
     EXPECT_TRUE(has_capacity(nearly_full, 1.0));
-    EXPECT_FALSE(has_capacity(nearly_full, steering::lower_priority_capacity_share));
+    EXPECT_FALSE(has_capacity(nearly_full, steering::lower_priority_capacity_fraction));
 }
 
 TEST(admission, capacity_is_available_as_soon_as_requests_end) {
     // All targets were silent and have recovered. A limit derived from late answers would go on
     // refusing callers for seconds while slots are idle.
-    const steering::service_demand_split demand{.local = 100, .remote = 500};
+    const steering::local_and_remote_demand demand{.local = 100, .remote = 500};
     EXPECT_FALSE(has_capacity(service(14, 20, 100, demand), 1.0));
     EXPECT_TRUE(has_capacity(service(14, 2, 10, demand), 1.0));
 }
@@ -97,17 +97,17 @@
 TEST(admission, an_instance_gets_the_share_of_its_local_demand) {
     // Two zones have the same demand, one through three instances and the other through one. Shared
     // by instance, the second zone would get a quarter of the capacity for half of the callers.
-    const steering::service_demand_split half{.local = 300, .remote = 300};
+    const steering::local_and_remote_demand half{.local = 300, .remote = 300};
     EXPECT_TRUE(has_capacity(service(14, 27, 29, half), 1.0));
     EXPECT_FALSE(has_capacity(service(14, 28, 29, half), 1.0));
-    const steering::service_demand_split sixth{.local = 100, .remote = 500};
+    const steering::local_and_remote_demand sixth{.local = 100, .remote = 500};
     EXPECT_TRUE(has_capacity(service(14, 8, 50, sixth), 1.0));
     EXPECT_FALSE(has_capacity(service(14, 9, 50, sixth), 1.0));
 }
 
 TEST(admission, unused_capacity_is_available_to_any_instance) {
     // One zone has five times its usual demand, and the others have little.
-    const steering::service_demand_split quarter{.local = 100, .remote = 300};
+    const steering::local_and_remote_demand quarter{.local = 100, .remote = 300};
     EXPECT_TRUE(has_capacity(service(14, 40, 10, quarter), 1.0));
     EXPECT_FALSE(has_capacity(service(14, 40, 20, quarter), 1.0));
 }
@@ -115,7 +115,7 @@
 TEST(admission, at_the_start_of_a_burst_the_local_count_limits_admission) {
     // All callers arrive at once. Peers still report an idle fleet, and each of six instances would
     // admit as many requests as the whole service can serve.
-    const steering::service_demand_split sixth{.local = 100, .remote = 500};
+    const steering::local_and_remote_demand sixth{.local = 100, .remote = 500};
     int admitted = 0;
     while (has_capacity(service(14, admitted, 33, sixth), 1.0)) {
         ++admitted;
@@ -160,7 +160,7 @@
 }
 
 TEST(admission, without_reports_of_peers_an_instance_gets_all_capacity) {
-    EXPECT_DOUBLE_EQ(service(14, 3, 0, {}).local_demand_share(), 1);
+    EXPECT_DOUBLE_EQ(service(14, 3, 0, {}).local_demand_fraction(), 1);
     EXPECT_TRUE(has_capacity(service(14, 50, 0, {.local = 100}), 1.0));
     EXPECT_FALSE(has_capacity(service(14, 56, 0, {.local = 100}), 1.0));
 }
--- a/tests/steering_load_test.cpp
+++ b/tests/steering_load_test.cpp
@@ -81,9 +81,9 @@
     flow_tracker flows;
     flows.record_opening(opening(1), 11, start);
     const auto data = established_packet(1, 11, 100, 500, 40);
-    EXPECT_EQ(flows.record_packet(data, start).repeats, 0);
-    EXPECT_EQ(flows.record_packet(data, start).repeats, 1);
-    EXPECT_EQ(flows.record_packet(data, start).repeats, 2);
+    EXPECT_EQ(flows.record_packet(data, start).retransmissions, 0);
+    EXPECT_EQ(flows.record_packet(data, start).retransmissions, 1);
+    EXPECT_EQ(flows.record_packet(data, start).retransmissions, 2);
 }
 
 class silent_target : public ::testing::Test {
