--- a/libraries/steering/admission.cpp
+++ b/libraries/steering/admission.cpp
@@ -5,7 +5,9 @@
 namespace bramleytrack::steering {
 namespace {
 
-// A share of a small target's capacity can be less than one request and would keep it idle.
+// A fraction of a small target's capacity can be less than one request and would keep it idle. The
+// same minimum applies to an instance's part of a service: each instance may always have one
+// request open.
 constexpr double min_capacity = 1;
 
 double capacity_of(double slots, double capacity_fraction) {
--- a/libraries/steering/admission.h
+++ b/libraries/steering/admission.h
@@ -6,22 +6,33 @@
 // the first second of a burst fills all queues with flows that stay: every answer is late although
 // the targets are never idle.
 //
-// Two limits apply, both to requests that are open through all instances together. A target may
-// have twice as many open requests as slots: slots stay busy while the next request is on its way,
-// and the wait is about one service time. A service has the capacity of all its targets together;
-// once that is used up, each instance still has the share of it that its own callers demand. Shares
-// follow demand and not the number of instances: otherwise a zone with three instances would get
-// three times the capacity of a zone with one.
+// A flow needs capacity of the target and of the service. A target may have twice as many open
+// requests as slots, through all instances together: slots stay busy while the next request is on
+// its way, and the wait is about one service time.
 //
-// The local count is exact and peers' reports are a fraction of a second old, so at the start of a
-// burst each instance admits at most what was free according to those reports.
+// The capacity of a service is that of its targets together, see load_estimate::usage_of for those
+// that count. A flow is admitted while the requests open through all instances are below it. Beyond
+// that, a flow is still admitted while the requests open through this instance are below its part
+// of the capacity, the fraction of the demand that comes from its own callers. This second rule
+// counts no remote requests, so the total can exceed the service's capacity when other instances
+// have more than their part. The parts follow demand and not the number of instances: otherwise a
+// zone with three instances would get three times the capacity of a zone with one.
+//
+// Routes of lower priority and heavy callers may use only a fraction of either capacity, see
+// lower_priority_capacity_fraction and heavy_caller_capacity_fraction; for a heavy caller of such a
+// route, both apply. One open request is always allowed on each target, and for each instance on
+// each service.
+//
+// The local count is exact and peers' reports are a fraction of a second old. At the start of a
+// burst each instance admits what was free according to those reports, so the instances together
+// may admit more than was free.
 #pragma once
 
 namespace bramleytrack::steering {
 
 // Requests that are open on one target.
 struct target_usage {
-    int slots = 1;
+    int slots = 1;      // requests that the target processes at once
     double local = 0;   // through this instance
     double remote = 0;  // through other instances, as they report it
 };
@@ -56,7 +67,8 @@
     double open_local() const { return local_; }
     double open_remote() const { return remote_; }
     const local_and_remote_demand& demand() const { return demand_; }
-    // This instance's share of the total demand, from 0 to 1; 1 when no demand is known.
+    // The part of the demand that comes through this instance, from 0 to 1; 1 when no demand is
+    // known.
     double local_demand_fraction() const;
 
 private:
@@ -70,18 +82,18 @@
 // Requests that may be open on a target for each of its slots before no more flows are placed
 // there.
 constexpr double open_requests_per_slot = 2;
-// The share of the capacity for routes whose priority is lower than that of others with current
+// The part of the capacity for routes whose priority is lower than that of others with current
 // demand.
 constexpr double lower_priority_capacity_fraction = 0.88;
 // From this value of service_demand::recent_higher_priority on, routes of lower priority are
 // capped: one request within the last third of a second.
 constexpr double min_higher_priority_demand = 0.5;
-// The share of the capacity for callers that already have more than their share of it, see
+// The part of the capacity for callers that already have more than their fair share, see
 // caller_shares.
 constexpr double heavy_caller_capacity_fraction = 0.75;
 
-// `share` is the part of the capacity that the flow may use. A target without open requests always
-// has capacity.
+// `capacity_fraction` is the part of the capacity that the flow may use. A target without open
+// requests always has capacity, and so has a service without requests open through this instance.
 bool has_capacity(const target_usage& target, double capacity_fraction);
 bool has_capacity(const service_usage& service, double capacity_fraction);
 
--- a/libraries/steering/cold_gate.h
+++ b/libraries/steering/cold_gate.h
@@ -23,7 +23,7 @@
 namespace bramleytrack::steering {
 
 struct cold_gate_limits {
-    // The share of the target's rate limit that one owner uses; two owners at once stay below the
+    // The part of the target's rate limit that one owner uses; two owners at once stay below the
     // limit.
     double rate_fraction = 0.4;
     double burst = 2;
