--- a/libraries/steering/decision_log.h
+++ b/libraries/steering/decision_log.h
@@ -46,9 +46,9 @@
                      std::size_t flows, clock::time_point now);
     // One of those flows, ended without a packet of its own.
     void flow_ended(const flow_key& flow, const discovery::target& target, clock::time_point now);
-    // An opening packet was retransmitted: the target that was chosen before has not responded.
+    // An opening packet was retransmitted: the target that was chosen before has not accepted it.
     void unanswered_opening(const segment& packet, clock::time_point now);
-    // Writes nothing if the response met its latency objective.
+    // Writes nothing if the answer met its latency objective.
     void late_answer(const segment& packet, const discovery::target& target,
                      clock::duration objective, clock::duration latency, clock::time_point now);
 
--- a/libraries/steering/flow_tracker.cpp
+++ b/libraries/steering/flow_tracker.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr clock::duration expiry_interval{500};
-// A moving average over about eight responses follows a target that becomes slow within a second.
+// An average over about eight answers reflects within a second that a target has become slow.
 constexpr double response_time_weight = 0.125;
 constexpr int max_ejection_doublings = 2;
 constexpr int min_retransmissions_of_silent_flow = 2;
@@ -24,10 +24,10 @@
 }
 
 std::optional<routing_token> flow_tracker::find_token_of_recent_opening(
-    const segment& copy, clock::time_point now) const {
-    const auto* flow = find(copy.flow);
+    const segment& retransmission, clock::time_point now) const {
+    const auto* flow = find(retransmission.flow);
     const bool is_same = flow != nullptr && !flow->is_established && flow->token != 0 &&
-                         flow->opening_sequence == copy.sequence;
+                         flow->opening_sequence == retransmission.sequence;
     const bool is_too_early =
         is_same && now - flow->opened_at < limits_.min_retransmission_interval;
     return is_too_early ? std::optional{flow->token} : std::nullopt;
@@ -166,8 +166,8 @@
     flow.next_sequence = end;
     flow.retransmissions = 0;
     flow.is_counted_as_silent = false;
-    // Data that acknowledges more than before begins the next request, even if the previous
-    // response was acknowledged through another instance. Other data belongs to the open request.
+    // Data that acknowledges more than before begins the next request, even if the previous answer
+    // was acknowledged through another instance. Other data belongs to the open request.
     const bool is_next = is_after(packet.acknowledged, flow.acknowledged);
     if (flow.is_request_sent && !is_next) {
         return;
@@ -205,7 +205,7 @@
 }
 
 // Callers send an acknowledgement without data only when something from the target has just
-// arrived. An acknowledgement that comes with data proves nothing: the response may have arrived
+// arrived. An acknowledgement that comes with data proves nothing: the packet may have arrived
 // long before.
 void flow_tracker::record_acknowledgement(flow_state& flow, const segment& packet,
                                           observation& result, clock::time_point now) {
--- a/libraries/steering/flow_tracker.h
+++ b/libraries/steering/flow_tracker.h
@@ -1,10 +1,12 @@
-// Infers the health and load of targets from callers' packets: openings without a response, open
-// requests and response times. It reads only headers, and only of the packets that reach this
+// Infers the health and load of targets from callers' packets: openings that are not accepted, open
+// requests and answer times. It reads only headers, and only of the packets that reach this
 // instance.
 //
-// A retransmitted opening packet means that the target chosen before did not respond; the first
-// other packet of the flow means that it did. Data from the caller begins a request. An
-// acknowledgement without data means that something from the target has just reached the caller.
+// A target accepts an opening, answers a request, and responds with any packet, of which these are
+// two kinds. A retransmitted opening packet means that the target chosen before has not accepted
+// the flow; the first other packet of the flow means that it has. Data from the caller begins a
+// request. An acknowledgement without data means that something from the target has just reached
+// the caller; it is taken for the answer to the open request.
 #pragma once
 
 #include <cstdint>
@@ -24,19 +26,21 @@
 // The health of one target, as inferred from the packets that this instance forwards.
 struct target_health {
     int flows = 0;  // that this instance has seen and that are not closed
-    // Pending openings, and requests without an acknowledged response. An opening counts as the
+    // Pending openings, and requests without an acknowledged answer. An opening counts as the
     // request that follows it; otherwise flows that arrive together would all find the target idle.
     int open_requests = 0;
-    double answer_ms = 0;         // moving average, from the request's first byte to the response's
-    int unanswered_openings = 0;  // consecutive openings without a response
-    // Flows whose data was retransmitted twice since the target's last response. A live target
-    // acknowledges the first retransmission however slow its responses are, so a second one means
-    // that nothing reaches the target. A single flow may also have lost both copies in transit.
+    // Moving average, from the request's first byte to the acknowledgement of its answer.
+    double answer_ms = 0;
+    int unanswered_openings = 0;  // retransmitted openings since its last response
+    // How often, since the target's last response, a flow's data was retransmitted twice. A flow
+    // counts once until it sends new data, and may then count again. A live target acknowledges the
+    // first retransmission however slow its answers are, so a second one means that nothing reaches
+    // the target. For a single flow, the data and both retransmissions may also have been lost.
     int silent_flows = 0;
     clock::time_point ejected_until;
     clock::time_point reported_dead_until;  // by peers; gets no new flows until then
     clock::time_point dead_until;           // found dead here; its flows are ended
-    clock::time_point last_response_at;     // when the target last responded
+    clock::time_point last_response_at;     // when a caller's packet last showed a response
     clock::time_point last_opening_at;      // when an opening was last placed on it
 };
 
@@ -45,37 +49,50 @@
     std::uint32_t opening_sequence = 0;
     std::uint32_t next_sequence = 0;  // after the newest data that was forwarded
     std::uint32_t acknowledged = 0;
-    clock::time_point opened_at;   // newest opening packet, or else first packet seen here
-    clock::time_point request_at;  // first byte of the open request
+    clock::time_point opened_at;  // newest opening packet, or else first packet seen here
+    // When the first byte of the newest request was forwarded; stays when the request ends.
+    clock::time_point request_at;
     clock::time_point last_packet_at;
     bool is_established = false;
     bool has_open_request = false;      // counted in target_health::open_requests
-    bool is_request_sent = false;       // its first byte was forwarded; request_at is valid
-    bool is_counted_as_silent = false;  // in target_health::silent_flows
-    int retransmissions = 0;            // retransmissions of the newest data
+    bool is_request_sent = false;       // a request was forwarded and has not ended
+    bool is_counted_as_silent = false;  // in target_health::silent_flows, since the newest data
+    int retransmissions = 0;            // since the newest data was forwarded
 };
 
 // What a packet of an established flow showed.
 struct observation {
     bool is_opening_accepted = false;  // the target accepted the flow
     clock::duration opening_acceptance_time{0};
-    bool is_request_begun = false;     // other than the one counted by the flow's opening
-    bool is_request_answered = false;  // the target responded to a request
+    // A request began while none was counted as open. Stays false for the request that the flow's
+    // opening counts, and while an earlier request still counts as open because this instance saw
+    // no acknowledgement without data for it, for example when the next request acknowledged it.
+    bool is_request_begun = false;
+    bool is_request_answered = false;  // the target answered the open request
     clock::duration answer_time{0};
-    int retransmissions = 0;  // how often the caller had sent this data before
-    // The caller retransmits its data, and the target has not responded since it was first sent.
+    // Retransmissions since the flow's newest data, with this packet; 0 if it is none.
+    int retransmissions = 0;
+    // The caller retransmits data, and the target has not responded to any flow since the first
+    // byte of this flow's newest request, at least min_retransmission_interval ago.
     bool is_target_suspect = false;
-    bool is_target_silent = false;  // see target_health::silent_flows
-    // Enough flows found the target silent to end all of its flows, including idle ones.
+    // The caller retransmits for at least the second time, min_silent_flows is reached, and this
+    // instance's path to other targets is sound.
+    bool is_target_silent = false;
+    // All of the target's flows are to be ended, including idle ones: either
+    // min_silent_flows_of_dead_target is reached as well, or the target is suspect, which takes one
+    // retransmission, while it counts as dead (target_health::dead_until).
     bool is_target_dead = false;
 };
 
 struct flow_tracker_limits {
-    // How long a target that left an opening unanswered gets no others: each one would cost its
-    // caller the 200 ms until the retransmission. The entries of dead targets are removed after
-    // about two seconds.
+    // How long a target is ejected after it left an opening unanswered or was found silent: each
+    // opening placed on it would cost its caller the 200 ms until the retransmission. Doubles with
+    // each further unanswered opening, up to max_ejection_time. The entries of dead targets are
+    // removed after about two seconds.
     clock::duration ejection_time{1'500};
     clock::duration max_ejection_time{6'000};
+    // The count in target_health::silent_flows from which a target is considered silent. One flow
+    // may have lost its data and both retransmissions in transit.
     int min_silent_flows = 2;
     // One more than for resetting a single flow, since it ends all flows of the target.
     int min_silent_flows_of_dead_target = 3;
@@ -87,18 +104,21 @@
     // queued in this instance's socket together with the original, and indicates nothing about the
     // target.
     clock::duration min_retransmission_interval{100};
-    // A caller sends its request as soon as the target has answered the opening. An opening without
+    // A caller sends its request as soon as the target has accepted the opening. An opening without
     // a request by then no longer counts as an open request: its caller has given up, or its target
     // is dead.
     clock::duration max_first_request_delay{250};
-    // A caller's next packet follows as soon as its opening is answered, within a few milliseconds.
+    // A caller's next packet follows as soon as its opening is accepted, within a few milliseconds.
     // A caller that the target refused sends nothing more on that flow, not even a retransmission.
     clock::duration opening_response_timeout{50};
-    // How long an opening without a response is kept: callers give up after 1.4 s.
+    // How long an opening that is not accepted is kept: callers give up after 1.4 s.
     clock::duration opening_lifetime{1'500};
     clock::duration idle_lifetime{15'000};
-    // A caller retransmits unacknowledged data within 1.6 s. After a longer silence its packets
-    // pass through another instance, and its request is no longer counted by this one.
+    // A request is no longer counted after its caller has been silent for this long. A caller
+    // retransmits unacknowledged data within 1.6 s, so after a longer silence its packets may pass
+    // through another instance. The other case is a request that the target has acknowledged and
+    // still works on: the target then seems to have more capacity than it has, and the answer is
+    // not measured.
     clock::duration open_request_idle_lifetime{2'000};
     // 11 million flows on 610 instances are 18,000 on each. The limit bounds memory during a flood
     // of openings.
@@ -116,13 +136,13 @@
     void record_attempt(const flow_key& key, clock::time_point now) {
         callers_.on_attempt(key.caller.address, now);
     }
-    // Returns the token of the target that got the original of this opening packet, if that was so
-    // recent that both must have been queued in this instance's socket.
-    std::optional<routing_token> find_token_of_recent_opening(const segment& copy,
+    // Returns the token of the target on which the opening of this retransmission was placed, if
+    // that was so recent that both must have been queued in this instance's socket.
+    std::optional<routing_token> find_token_of_recent_opening(const segment& retransmission,
                                                               clock::time_point now) const;
-    // The target chosen for an earlier copy of this opening packet did not respond. Ejects it and
-    // returns its token, unless it has responded to other flows since or the flow has no record
-    // here.
+    // An opening packet was retransmitted. Ejects the target that was chosen for the packet before
+    // and returns its token, unless it has accepted the flow, has responded to other flows since,
+    // got the packet less than min_retransmission_interval ago, or the flow has no record here.
     std::optional<routing_token> record_unanswered_opening(const flow_key& key,
                                                            clock::time_point now);
     void record_opening(const segment& opening, routing_token token, clock::time_point now);
@@ -172,9 +192,10 @@
 
     flow_tracker_limits limits_;
     std::unordered_map<flow_key, flow_state, flow_key_hash> flows_;
-    // Openings, oldest first, including those that a request has followed since.
+    // The openings of the last max_first_request_delay, oldest first, including those that a
+    // request has followed.
     std::deque<std::pair<flow_key, clock::time_point>> openings_to_check_for_request_;
-    // The newest of them, whose response timeout has not passed yet.
+    // The openings of the last opening_response_timeout, oldest first, including accepted ones.
     std::deque<std::pair<flow_key, clock::time_point>> openings_to_check_for_response_;
     std::unordered_map<routing_token, target_health> health_;
     caller_shares callers_;
--- a/libraries/steering/path_health.h
+++ b/libraries/steering/path_health.h
@@ -1,10 +1,11 @@
 // Detects whether this instance's own network path to the targets loses packets.
 //
 // Guards against a saturated uplink: what this instance forwards is lost, every target looks silent
-// from here, and flows of live targets would be reset. It shows in the answers: either none arrive,
-// or many of those that arrive are to data that callers had to retransmit. A few such answers are
-// no evidence of loss, since callers also retransmit to a target that takes over 200 ms; a rule
-// that took any of them for loss would leave the flows of dead targets to their deadlines.
+// from here, and flows of live targets would be reset. The loss shows in callers' packets: either
+// no target responds, or many of the answers are to data that callers had to retransmit. A few such
+// answers are no evidence of loss, since callers also retransmit to a target that takes over
+// 200 ms; a rule that took any of them for loss would leave the flows of dead targets to their
+// deadlines.
 #pragma once
 
 #include "base/clock.h"
@@ -12,11 +13,12 @@
 namespace bramleytrack::steering {
 
 struct path_limits {
-    // Third copies come 400 ms after second ones: another target must have responded meanwhile.
+    // Callers send the second retransmission 400 ms after the first: another target must have
+    // responded meanwhile.
     clock::duration max_response_age{300};
-    // A link that loses one packet in ten makes callers retransmit one request in ten. Three copies
-    // are then lost together once in a thousand times, and those of two flows of one target, with
-    // nothing from it arriving in between, practically never.
+    // A link that loses one packet in ten makes callers retransmit one request in ten. A packet and
+    // both its retransmissions are then lost once in a thousand times, and those of two flows of
+    // one target, with nothing from it arriving in between, practically never.
     double max_retransmitted_fraction = 0.1;
     // The weight of an answer halves in this time. Links stay saturated for seconds.
     clock::duration half_life{1'000};
--- a/libraries/steering/pause_guard.h
+++ b/libraries/steering/pause_guard.h
@@ -1,9 +1,9 @@
 // Detects that the process was paused: frozen, suspended, or without processor time.
 //
 // Guards against stale openings. Opening packets wait in the socket during the pause; forwarded
-// afterwards, they would reach targets long after their copies were answered through another
-// instance. The late answer changes the token that the caller returns, so that the packets of an
-// open flow go to the wrong target.
+// afterwards, they would reach targets long after their retransmissions were accepted through
+// another instance. The late acceptance changes the token that the caller returns, so that the
+// packets of an open flow go to the wrong target.
 #pragma once
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 namespace bramleytrack::steering {
 
 struct pause_limits {
-    // Callers send a copy after 200 ms, so a packet that waited longer is no longer the only one.
+    // Callers retransmit after 200 ms, so a packet that waited longer is no longer the only one.
     clock::duration min_pause{250};
     // The backlog is read within a few wake-ups; new packets arrive in between.
     clock::duration catch_up_time{30};
--- a/libraries/steering/segment.h
+++ b/libraries/steering/segment.h
@@ -38,7 +38,9 @@
     routing_token token = 0;         // from the target's last packet; 0 on an opening
     std::uint32_t sequence = 0;      // of the first byte of the payload
     std::uint32_t acknowledged = 0;  // the target's bytes that the caller has received
-    std::uint32_t copy = 0;    // of an opening packet: 0 is the original, then its retransmissions
+    // The number of the retransmission, as the packet states it; 0 for the original. Only opening
+    // packets are numbered.
+    std::uint32_t copy = 0;
     std::uint16_t length = 0;  // of the payload
     bool is_opening = false;
     bool is_closing = false;
