--- a/libraries/steering/decision.h
+++ b/libraries/steering/decision.h
@@ -21,7 +21,7 @@
     result_code reason = result_code::ok;
 };
 
-// Drops the packet silently. The caller retransmits it, and by then this instance or another one
+// Sends nothing. The caller retransmits the packet, and by then this instance or another one
 // may have a newer view of the directory.
 struct drop {
     result_code reason = result_code::ok;
--- a/libraries/steering/placement.cpp
+++ b/libraries/steering/placement.cpp
@@ -19,7 +19,8 @@
     std::size_t index = 0;
 };
 
-// The group's members, sorted by rendezvous score. Only the first few are used.
+// The candidates that `filter` selects, the highest rendezvous score first. The original opening
+// packet uses the first `choice_count` of them, each retransmission as many further down.
 std::vector<ranked_candidate> rank_by_score(std::span<const candidate> candidates,
                                             std::uint64_t flow_hash,
                                             bool (*filter)(const candidate&)) {
@@ -41,7 +42,7 @@
     if (order.empty()) {
         return std::nullopt;
     }
-    // Each copy starts further down the order than the one before.
+    // Each retransmission starts further down the order than the packet before, and wraps around.
     const auto start = std::size_t{copy} * choice_count % order.size();
     std::size_t best = order[start].index;
     for (std::size_t i = 1; i < std::min(choice_count, order.size()); ++i) {
@@ -88,7 +89,9 @@
     if (!std::ranges::all_of(candidates, &candidate::is_ejected)) {
         return placement_failure::saturated;
     }
-    // All are ejected and at capacity: one of them may have recovered, and there is no alternative.
+    // All are ejected and at capacity. The flow is admitted, unlike in the saturated case: one of
+    // the targets may have recovered, and its response to this flow would show that and end the
+    // ejection.
     return *choose_less_loaded(candidates, flow_hash, copy, [](const candidate&) { return true; });
 }
 
--- a/libraries/steering/placement.h
+++ b/libraries/steering/placement.h
@@ -19,10 +19,13 @@
     const discovery::target* target = nullptr;
     bool is_in_same_region = true;  // as this instance
     bool is_in_same_zone = false;   // as this instance
-    bool is_ejected = false;        // recently left an opening unanswered
+    bool is_ejected = false;        // ejected, found dead here or reported dead by peers
     bool has_capacity = true;       // see admission
-    double load = 0;       // open requests per slot, through all instances as far as reported
-    double answer_ms = 0;  // how long its answers take, 0 when unknown; weights its load
+    // Open requests per slot, through all instances as far as reported, with the new flow counted
+    // as one of them. Multiplied by the target's answer time relative to the mean of the
+    // candidates.
+    double load = 0;
+    double answer_ms = 0;  // mean time of its answers to requests; 0 when unknown
 };
 
 // Whether so many targets are ejected that ejection is no longer trusted.
@@ -35,12 +38,18 @@
 
 // Why no target was chosen.
 enum class placement_failure {
-    no_target,  // no candidate
-    saturated   // one more flow would be answered late on each of the candidates
+    // There are no candidates.
+    no_target,
+    // No candidate that may be used has capacity for the flow, and not all are ejected. Ejected
+    // ones may be used when are_too_many_ejected() holds.
+    saturated
 };
 
 // `flow_hash` spreads flows evenly, and lets two instances with the same state choose the same
-// target; `copy` moves a copy of an opening packet on to another target than the one before.
+// target. Of the candidates in the preferred group, two are compared. Each retransmission of an
+// opening packet, numbered by `copy`, compares the two after those of the packet before. In a group
+// of at least four these are two others; in a group of three the pairs overlap; in a group of one
+// or two they are the same, and the same target may be chosen again.
 //
 // Targets in the instance's own zone come first: a packet to another zone takes longer, is charged
 // by the byte, and the flow breaks when the zones are partitioned.
--- a/libraries/steering/rejection_summary.h
+++ b/libraries/steering/rejection_summary.h
@@ -1,9 +1,9 @@
 // Counts openings that were refused or dropped without a log line of their own, and logs the counts
 // once a second.
 //
-// Handles thousands of refusals a second. A log line for each would cost more than the refusal
+// Handles thousands of rejections a second. A log line for each would cost more than the rejection
 // itself, so most have none; without these counts, nobody could find out why one of those callers
-// was refused.
+// was rejected.
 #pragma once
 
 #include <map>
--- a/libraries/steering/steering.cpp
+++ b/libraries/steering/steering.cpp
@@ -28,9 +28,9 @@
     return has_split ? route->splits.front().service : "none";
 }
 
-// Weighs each target's load by its response time relative to the mean of the candidates. By load
+// Weighs each target's load by its answer time relative to the mean of the candidates. By load
 // alone, a target that has become slow looks as good as any other while it has few open requests. A
-// target without measured responses counts as average.
+// target without measured answers counts as average.
 void weigh_by_answer_time(std::span<candidate> candidates) {
     double sum = 0;
     int measured = 0;
@@ -96,7 +96,7 @@
     const bool is_state_fresh = now - state.confirmed <= limits_.max_refusal_staleness;
     if (route == nullptr) {
         // A partitioned instance may not have received a route that was added since, and must not
-        // reject its callers. It drops the packet instead, and the retransmission may reach an
+        // refuse its callers. It drops the packet instead, and the retransmission may reach an
         // instance that has the route.
         return record_outcome(
             is_state_fresh ? decision{refuse{{.flow = packet.flow}, result_code::unknown_route}}
@@ -132,11 +132,13 @@
     return record_outcome(forward{&target});
 }
 
-// Returns the target that got the original of this retransmission, if both waited in this
+// Returns the target on which the opening of this retransmission was placed, if both waited in this
 // instance's socket. While an instance starts or is paused, an opening and its retransmissions
 // queue there and are then read within a few milliseconds. Taken for signs of targets that do not
 // respond, they would get most targets ejected and callers rejected although targets are idle, and
 // two targets would accept the same flow. The retransmission therefore goes to the same target.
+// Returns null if that target takes no new flows any more, or is cold: the retransmission is then
+// placed like a new opening, within the rate limit of cold targets.
 const discovery::target* steering::find_target_of_recent_opening(const segment& packet,
                                                                  clock::time_point now) const {
     const auto token =
@@ -147,10 +149,11 @@
     return can_accept_retransmission ? target : nullptr;
 }
 
-// A caller that cannot be served in time is reset at once: its wait would delay others, and the
-// rejection is safe because nothing has run. If a cold target was held back, the packet is dropped
-// instead, since that target may accept the retransmission 200 ms later. It is also dropped while
-// the directory is stale, since a target may have been added that it does not list yet.
+// When the candidates are saturated, the caller is always refused: its wait would delay others, and
+// a refusal is safe because nothing has run. Without a candidate it is refused as well, with two
+// exceptions in which the packet is dropped. A cold target that was held back may accept the
+// retransmission 200 ms later. While the directory is stale, a target may have been added that it
+// does not list yet.
 decision steering::on_placement_failure(const segment& packet, placement_failure reason,
                                         bool has_held_back_cold_target, bool is_state_fresh) {
     if (reason == placement_failure::saturated) {
@@ -208,12 +211,13 @@
     return forward{target};
 }
 
-// Resets all flows of a dead target. Otherwise each caller of its hundreds of open flows finds out
-// by a request that waits for its deadline, and requests that may not be repeated are lost. After a
+// Resets all flows of a dead target. Without a reset, each caller of its hundreds of open flows
+// finds out by a request that waits for its deadline and is lost if it may not be retried. After a
 // reset, an idle caller opens another flow for its next request, and a waiting one fails at once.
-// Resets would break the flows of a live target, so this requires that three flows found it silent
-// while this instance's path to other targets was sound, or that several instances could not reach
-// it.
+//
+// Resets would break the flows of a live target. They therefore require that the target was counted
+// as silent three times (target_health::silent_flows) while this instance's path to other targets
+// was sound, or that several instances could not reach it.
 void steering::end_flows_of(const discovery::target& target, clock::time_point now) {
     const auto health = flows_.health(target.token);
     auto ended = flows_.end_flows_of(target.token);
@@ -244,10 +248,10 @@
     flows_.record_reported_dead(target.token, until);
 }
 
-// Whether the route was removed after this flow was opened. A route may be removed and added again,
-// and an instance that has not received the addition would reset flows opened through other
-// instances. So only flows that were seen here before the removal are ended, and only while the
-// directory was confirmed recently.
+// Whether the flow is to be ended because its route was removed. A route may be removed and added
+// again, and an instance that has not received the addition would reset flows opened through other
+// instances. So only flows that were seen here before the removal are ended, and none while the
+// directory is stale.
 bool steering::is_ended_by_route_removal(const segment& packet, const directory_state& state,
                                          clock::time_point now) const {
     const auto removed_at = directory_.route_dropped_at(packet.flow.route);
@@ -265,16 +269,17 @@
     if (observed.retransmissions == 0) {
         return std::nullopt;
     }
-    // A missing entry alone proves nothing: it expires during a store outage, and can be removed by
-    // mistake. A live target acknowledges the first retransmission, so the second one is required.
-    // A target that drained before its entry was removed has ended, and one is enough.
+    // That the target's entry is missing proves nothing by itself: entries expire during a store
+    // outage and can be removed by mistake. A live target acknowledges the first retransmission, so
+    // a second one is required. A target that drained before its entry was removed has ended, and
+    // one retransmission is enough.
     const bool has_not_responded = flows_.health(target.token).last_response_at < target.changed_at;
     const bool is_gone = !target.is_listed() && !target.presumed_alive_until.has_value();
     const int min_retransmissions = target.removal == discovery::removal_reason::drained ? 1 : 2;
     if (is_gone && has_not_responded && observed.retransmissions >= min_retransmissions) {
         return result_code::target_gone;
     }
-    // The entry of a target that has just died remains listed for some seconds. Callers repeat only
+    // The entry of a target that has just died remains listed for some seconds. Callers retry only
     // idempotent requests, so a reset gains nothing on other routes.
     const bool may_retry = route != nullptr && route->is_idempotent;
     return observed.is_target_silent && may_retry ? std::optional{result_code::target_silent}
--- a/libraries/steering/steering.h
+++ b/libraries/steering/steering.h
@@ -35,7 +35,7 @@
     // targets are removed after about two seconds.
     clock::duration dead_verdict_lifetime{3'000};
     // A route or target that the directory does not hold may have been added since it was
-    // confirmed. Callers are rejected only while the confirmation is younger than the time within
+    // confirmed. Callers are refused only while the confirmation is younger than the time within
     // which a configuration change must reach every instance.
     clock::duration max_refusal_staleness{3'000};
 };
