--- a/tests/steering_caller_shares_test.cpp
+++ b/tests/steering_caller_shares_test.cpp
@@ -119,7 +119,7 @@
     auto closing = packet(3);
     closing.is_closing = true;
     flows.record_packet(closing, start);
-    // Another target accepted the opening's copy, and the remaining flows fall silent.
+    // Another target accepted the opening's retransmission, and the remaining flows fall silent.
     auto moved = packet(4);
     moved.token = 6;
     flows.record_packet(moved, start);
--- a/tests/steering_cold_start_test.cpp
+++ b/tests/steering_cold_start_test.cpp
@@ -132,7 +132,7 @@
 // The owner of a cold target is cut off from the store and from all peers, and its entry is
 // removed. Its successor is cut off in the same way a moment later, and so is the third. Each has
 // removed those before it from its directory and acts as the owner, so the target gets three
-// shares.
+// times the flows of one owner.
 TEST(cold_gate, owners_cut_off_one_after_the_other_stay_below_the_platform_limit) {
     constexpr std::size_t instances = 5;
     fleet_of_gates fleet{instances};
--- a/tests/steering_load_test.cpp
+++ b/tests/steering_load_test.cpp
@@ -158,9 +158,9 @@
     EXPECT_TRUE(send_second_retransmission(2).is_target_silent);
 }
 
-// An instance is paused for a second. All three copies of some callers' data are queued in its
-// socket and read at once when it resumes, together with acknowledgements of other flows. The
-// target has not received any of the copies.
+// An instance is paused for a second. Some callers' data and its two retransmissions are
+// queued in its socket and read at once when it resumes, together with acknowledgements of other
+// flows. The target has not received any of these.
 TEST_F(silent_target, is_not_detected_from_copies_queued_in_the_own_socket) {
     flow_tracker flows;
     const auto resumed = start + clock::duration{1'000};
@@ -230,7 +230,7 @@
 }
 
 TEST(flow_tracker, a_slow_target_that_responds_to_any_caller_is_not_silent) {
-    // A target takes a second for each response, so callers send their data three times. It has
+    // A target takes a second for each answer, so callers send their data three times. It has
     // responded to another caller since, so it is alive.
     flow_tracker flows;
     constexpr clock::duration second_retransmission{600};
--- a/tests/steering_overload_test.cpp
+++ b/tests/steering_overload_test.cpp
@@ -109,7 +109,7 @@
 TEST(steering_overload, openings_avoid_targets_that_have_died) {
     // Four targets of fourteen fall silent while their entries are still listed, and callers open a
     // flow for each request. Without failure detection nearly three openings of ten would wait for
-    // their copies, for as long as the entries are listed.
+    // their retransmissions, for as long as the entries are listed.
     constexpr overload_choice without_detection{.checks_targets = false, .heeds_copies = false};
     const auto with = figures("steer_dead_short_flows", {});
     const auto without = figures("steer_dead_short_flows", without_detection);
--- a/tests/steering_rejection_summary_test.cpp
+++ b/tests/steering_rejection_summary_test.cpp
@@ -1,4 +1,4 @@
-// The summary of refusals that exceed the log's rate limit.
+// The summary of rejections that exceed the log's rate limit.
 #include <gtest/gtest.h>
 
 #include <string>
--- a/tests/steering_target_death_test.cpp
+++ b/tests/steering_target_death_test.cpp
@@ -75,10 +75,10 @@
     open_idle_flow(1, "i-1", start);
     deliver(request(1, "i-1"), start + clock::duration{10});
     EXPECT_TRUE(core_.take_suspects(start + clock::duration{10}).empty());
-    const auto repeated = start + clock::duration{210};
-    deliver(request(1, "i-1"), repeated);
-    EXPECT_EQ(core_.take_suspects(repeated).size(), 1U);
-    EXPECT_TRUE(core_.take_suspects(repeated).empty());
+    const auto retransmitted_at = start + clock::duration{210};
+    deliver(request(1, "i-1"), retransmitted_at);
+    EXPECT_EQ(core_.take_suspects(retransmitted_at).size(), 1U);
+    EXPECT_TRUE(core_.take_suspects(retransmitted_at).empty());
 }
 
 TEST_F(steering_target_death, packets_queued_in_the_own_socket_make_no_target_suspect) {
@@ -123,7 +123,7 @@
 }
 
 TEST_F(steering_target_death, all_flows_of_a_dead_target_are_reset_including_idle_ones) {
-    // Guards against loss of requests that may not be repeated and are sent on a flow to a dead
+    // Guards against loss of requests that may not be retried and are sent on a flow to a dead
     // target.
     open_idle_flow(1, "i-1", start);
     open_idle_flow(2, "i-1", start);
--- a/tests/steering_waiting_copies_test.cpp
+++ b/tests/steering_waiting_copies_test.cpp
@@ -1,4 +1,4 @@
-// Copies of opening packets that were delayed in the instance's own socket.
+// Retransmissions of opening packets that were delayed in the instance's own socket.
 #include <gtest/gtest.h>
 
 #include "fleet/peer_digests.h"
@@ -61,16 +61,16 @@
 };
 
 TEST_F(waiting_copies, are_no_evidence_about_targets) {
-    // While an instance starts after a power failure, openings and their copies wait in its socket,
-    // and it then reads them within a few milliseconds. Guards against copies that are taken for
-    // unanswered openings: most of the fleet was ejected, and two of three callers that came next
-    // were refused although the targets were idle.
+    // While an instance starts after a power failure, openings and their retransmissions wait in
+    // its socket, and it then reads them within a few milliseconds. Guards against retransmissions
+    // that are taken for unanswered openings: most of the fleet was ejected, and two of three
+    // callers that came next were refused although the targets were idle.
     constexpr std::uint16_t callers = 16;
     for (std::uint16_t port = 1; port <= callers; ++port) {
         const auto* first = target_of(open(port, 0, start));
         ASSERT_NE(first, nullptr);
-        // The copy is the same opening and goes to the same target; otherwise two targets would
-        // accept it, and each would answer the caller.
+        // The retransmission is the same opening and goes to the same target; otherwise two targets
+        // would accept it, and each would answer the caller.
         EXPECT_EQ(target_of(open(port, 1, start + clock::duration{4})), first);
         EXPECT_EQ(target_of(open(port, 2, start + clock::duration{6})), first);
     }
