--- a/libraries/steering/placement.cpp
+++ b/libraries/steering/placement.cpp
@@ -19,13 +19,14 @@
     std::size_t index = 0;
 };
 
-// The group's members, sorted by rendezvous score. Only the first few are used.
+// The candidates that `filter` selects, the highest rendezvous score first. The original opening
+// packet uses the first `choice_count` of them, each retransmission as many further down.
 std::vector<ranked_candidate> rank_by_score(std::span<const candidate> candidates,
                                             std::uint64_t flow_hash,
-                                            bool (*is_member)(const candidate&)) {
+                                            bool (*filter)(const candidate&)) {
     std::vector<ranked_candidate> result;
     for (std::size_t i = 0; i < candidates.size(); ++i) {
-        if (is_member(candidates[i])) {
+        if (filter(candidates[i])) {
             result.push_back(
                 {.score = hash_of(flow_hash, candidates[i].target->token), .index = i});
         }
@@ -36,12 +37,12 @@
 
 std::optional<std::size_t> choose_less_loaded(std::span<const candidate> candidates,
                                               std::uint64_t flow_hash, std::uint32_t copy,
-                                              bool (*is_member)(const candidate&)) {
-    const auto order = rank_by_score(candidates, flow_hash, is_member);
+                                              bool (*filter)(const candidate&)) {
+    const auto order = rank_by_score(candidates, flow_hash, filter);
     if (order.empty()) {
         return std::nullopt;
     }
-    // Each copy starts further down the order than the one before.
+    // Each retransmission starts further down the order than the packet before, and wraps around.
     const auto start = std::size_t{copy} * choice_count % order.size();
     std::size_t best = order[start].index;
     for (std::size_t i = 1; i < std::min(choice_count, order.size()); ++i) {
@@ -73,8 +74,8 @@
             return !each.is_ejected && each.has_capacity && each.is_in_same_region;
         },
         [](const candidate& each) { return !each.is_ejected && each.has_capacity; }};
-    for (const auto is_member : preferred) {
-        if (const auto found = choose_less_loaded(candidates, flow_hash, copy, is_member)) {
+    for (const auto filter : preferred) {
+        if (const auto found = choose_less_loaded(candidates, flow_hash, copy, filter)) {
             return *found;
         }
     }
@@ -88,7 +89,9 @@
     if (!std::ranges::all_of(candidates, &candidate::is_ejected)) {
         return placement_failure::saturated;
     }
-    // All are ejected and at capacity: one of them may have recovered, and there is no alternative.
+    // All are ejected and at capacity. The flow is admitted, unlike in the saturated case: one of
+    // the targets may have recovered, and its response to this flow would show that and end the
+    // ejection.
     return *choose_less_loaded(candidates, flow_hash, copy, [](const candidate&) { return true; });
 }
 
