--- a/services/bramleyd/peer_exchange.cpp
+++ b/services/bramleyd/peer_exchange.cpp
@@ -8,16 +8,17 @@
 namespace {
 
 // Four digests are sent within digest_limits::freshness, after which receivers disregard a peer's
-// last digest. At 200 bytes to each of eight peers, an instance sends 5 KB a second.
+// last digest. For the traffic at this interval see digest_limits::receivers.
 constexpr clock::duration digest_interval{300};
 // Peers respond from memory. Waiting longer for one is no better than reading the store itself.
 constexpr clock::duration pull_timeout{700};
 // Delay after a failed pull, so that an unreachable peer is not queried at each tick.
 constexpr clock::duration failed_pull_pause{200};
-// Small instances have 10 Mbit/s for all traffic. At this rate a configuration of 300 KB, about 30
-// KB compressed, is pulled at most once a second, however often it changes. A change must be in
-// force within 3 s.
-constexpr std::int64_t max_pull_bytes_per_millisecond = 300;
+// Rate limit of pulls, in bytes of uncompressed values. Small instances have 10 Mbit/s for all
+// traffic. With this limit, a configuration of 300 KB, which is about 30 KB compressed, is pulled
+// at most once a second, however often it changes.
+constexpr std::int64_t max_pulled_value_bytes_per_millisecond = 300;
+// Limits the pause after a large pull: a change must be in force within 3 s.
 constexpr clock::duration max_pull_pause{1'000};
 constexpr std::string_view changes_path = "/changes";
 constexpr std::string_view removed_items_path = "/ended";
@@ -69,7 +70,7 @@
     std::erase(seeds_, settings.advertised_pull_address);
 }
 
-void peer_exchange::tick(const digest_state& state, const steering::steering& core,
+void peer_exchange::tick(const digest_state& state, const steering::steering& steering,
                          clock::time_point now) {
     const bool is_urgent = state.known_revision > last_sent_state_.known_revision ||
                            (failure_detector_ && failure_detector_->has_unsent_verdicts());
@@ -83,8 +84,8 @@
     digest.confirmed_ms_ago = milliseconds_since(state.confirmed_at, now);
     digest.has_lost_store = state.has_lost_store;
     digest.is_stopping = state.is_stopping;
-    digest.loads = digests_.load_reports(core.flows());
-    digest.demands = digests_.demand_reports(core.demands(), core.flows(), now);
+    digest.loads = digests_.load_reports(steering.flows());
+    digest.demands = digests_.demand_reports(steering.demands(), steering.flows(), now);
     if (failure_detector_ != nullptr) {
         for (const auto& each : failure_detector_->take_verdicts(now)) {
             auto& report = digest.dead.emplace_back();
@@ -107,6 +108,8 @@
     return result;
 }
 
+// On the wire, `reach_question` is the request for an indirect probe of a target, and
+// `reach_answer` is the result of that probe.
 void peer_exchange::send_probe_request(const discovery::peer_entry& peer,
                                        discovery::routing_token token) {
     wire::reach_question request;
@@ -189,6 +192,7 @@
 }
 
 // Peers that fell behind at the same time request the same changes, so the last response is cached.
+// The confirmation age in a cached response is the one at the time of encoding.
 const std::string& peer_exchange::encode_changes_since(std::int64_t after) {
     const auto now = clock::now();
     const bool is_cached = cached_after_ == after && cached_revision_ == mirror_.revision() &&
@@ -263,7 +267,7 @@
     done(removed, now);
 }
 
-void peer_exchange::fetch(const fleet::pull_source& from, clock::time_point now) {
+void peer_exchange::pull(const fleet::pull_source& from, clock::time_point now) {
     if (is_pulling_ || now < next_pull_) {
         return;
     }
@@ -276,7 +280,7 @@
                      });
 }
 
-void peer_exchange::fetch_from_seed(clock::time_point now) {
+void peer_exchange::pull_from_seed(clock::time_point now) {
     if (seeds_.empty()) {
         return;
     }
@@ -284,7 +288,7 @@
     if (!is_pulling_ && now >= next_pull_) {
         ++next_seed_;
     }
-    fetch({.peer = "seed", .address = address}, now);
+    pull({.peer = "seed", .address = address}, now);
 }
 
 void peer_exchange::on_pull_response(const std::string& peer, const net::http_result& response,
@@ -301,17 +305,19 @@
         ++rejected_messages_;
         return;
     }
-    std::int64_t bytes = 0;
+    std::int64_t value_bytes = 0;
     for (const auto& each : changes->records) {
-        bytes += static_cast<std::int64_t>(each.value.size());
+        value_bytes += static_cast<std::int64_t>(each.value.size());
     }
     next_pull_ =
-        now + std::min(max_pull_pause, clock::duration{bytes / max_pull_bytes_per_millisecond});
+        now + std::min(max_pull_pause,
+                       clock::duration{value_bytes / max_pulled_value_bytes_per_millisecond});
     pull_result result;
     result.revision = changes->revision;
     result.is_whole = changes->is_whole;
-    // The reported age counts from when the peer responded. Subtracting it from the earlier time at
-    // which the request was sent never makes the confirmation look newer than it is.
+    // The peer computed the age when it encoded the response. Subtracting it from the time at which
+    // the request was sent makes up for the transit time. A cached response may have been encoded
+    // up to digest_interval before, and the confirmation then looks newer by up to that time.
     result.confirmed_at = changes->confirmed_ms_ago < 0
                               ? clock::time_point{}
                               : sent_at - clock::duration{changes->confirmed_ms_ago};
--- a/services/bramleyd/peer_exchange.h
+++ b/services/bramleyd/peer_exchange.h
@@ -1,4 +1,5 @@
-// Exchange of digests and store changes between instances that route by token.
+// Exchange of digests and store changes between instances that route by token: callers return 32
+// bits that name the target, so that any instance routes any packet.
 //
 // Owns the sockets and the HTTP calls. What is sent, to which peers, and which peer is pulled from
 // is decided in libraries/fleet.
@@ -28,6 +29,9 @@
 struct digest_state {
     std::int64_t known_revision = 0;
     clock::time_point confirmed_at;  // the epoch if never
+    // Whether the last read or watch of the store failed. True from the first failure until the
+    // next success, also if the store has never responded; the log event store_lost is written only
+    // if it was reachable before.
     bool has_lost_store = false;
     bool is_stopping = false;
 };
@@ -83,16 +87,18 @@
 
     // Sends a digest if one is due, or at once if the revision has risen or there is a new verdict
     // on a dead target.
-    void tick(const digest_state& state, const steering::steering& core, clock::time_point now);
-    // Pulls store changes from a peer unless a pull is in progress.
-    void fetch(const fleet::pull_source& from, clock::time_point now);
-    // Requests the keys that were removed recently from a peer. `done` is always called, with no
-    // items if the request failed.
+    void tick(const digest_state& state, const steering::steering& steering, clock::time_point now);
+    // Pulls store changes from a peer, unless a pull is in progress or the pause after the last one
+    // isn't over.
+    void pull(const fleet::pull_source& from, clock::time_point now);
+    // Requests from a peer the items that were recently removed from the store. `done` is always
+    // called, with no items if the request failed.
     using removed_items_callback =
         std::function<void(std::span<const store::removed_item> removed, clock::time_point now)>;
     void request_removed_items(const fleet::pull_source& from, removed_items_callback done);
-    // Pulls from one of the configured seeds, so that an instance can start during a store outage.
-    void fetch_from_seed(clock::time_point now);
+    // Pulls from one of the configured seeds in turn, under the same conditions as pull(), so that
+    // an instance can start during a store outage.
+    void pull_from_seed(clock::time_point now);
 
     std::int64_t rejected_messages() const { return rejected_messages_; }
 
@@ -128,8 +134,8 @@
     clock::time_point next_digest_;
     clock::time_point next_pull_;
     std::size_t next_seed_ = 0;
-    // The last encoded response to a request for the changes after `cached_after_`, valid while the
-    // mirror is at `cached_revision_`.
+    // The last encoded response to a request for the changes after `cached_after_`. Valid while the
+    // mirror is at `cached_revision_`, for at most digest_interval after `cached_at_`.
     std::string cached_changes_;
     std::int64_t cached_after_ = -1;
     std::int64_t cached_revision_ = -1;
--- a/services/bramleyd/steering_daemon.cpp
+++ b/services/bramleyd/steering_daemon.cpp
@@ -12,19 +12,22 @@
 namespace {
 
 constexpr double milliseconds_per_second = 1000.0;
-// Interval of retries, budget refills and log output. Shorter intervals cost small instances
-// processor time at each wake-up.
+// Interval of all periodic work: store calls and registration with their retries, digests and
+// pulls, expiry, readiness, settings checks and log output. Each wake-up costs a small instance
+// processor time.
 constexpr clock::duration tick_interval{100};
 // The settings file may change without a signal. Reading a small file once a second is cheap.
 constexpr clock::duration settings_interval{1'000};
-// During a pause of this length, changes may have been missed and the watch may have stalled.
+// During a pause of this length, the process may have missed changes and its watch may have
+// stalled.
 constexpr clock::duration min_pause_for_reread{1'000};
-// After a store outage, targets write entries that have expired with their lease again within 2 s.
-// Until then a missing entry does not show that its target is gone. Same bound as
-// directory_limits::return_grace.
+// Targets rewrite their expired entries within 2 s of the store's return. Until then a missing
+// entry does not show that its target is gone. Same bound as
+// directory_limits::reregistration_grace.
 constexpr clock::duration post_outage_grace{2'000};
-// Under the planned load, an instance receives responses from targets many times a second.
-constexpr clock::duration max_target_silence{1'000};
+// Targets respond to callers directly; an instance infers from callers' packets that they do. Under
+// the planned load, it receives such packets many times a second.
+constexpr clock::duration max_time_without_response{1'000};
 constexpr int http_ok = 200;
 constexpr int http_not_found = 404;
 constexpr int http_unavailable = 503;
@@ -188,7 +191,8 @@
 
 void steering_daemon::send_reset(const steering::reset& reset) {
     const auto packet = platform_.packets.encode_reset(reset, packet_socket_.next_buffer());
-    // Callers receive packets on the same port as instances.
+    // The UDP port is the same for callers and instances. The caller's port in `reset.flow` is a
+    // field of the packet.
     packet_socket_.queue(reset.flow.caller.address, caller_port_, packet.size());
 }
 
@@ -205,11 +209,12 @@
     feed_.set_watch_enabled(should_watch);
     feed_.set_expected_watchers(update_source_.expected_watchers(now));
     if (!has_initial_state_) {
-        peer_exchange_.fetch_from_seed(now);
+        peer_exchange_.pull_from_seed(now);
     } else if (const auto source = update_source_.next_pull(
                    mirror_.revision(), should_watch && !feed_.is_pausing(), now)) {
-        peer_exchange_.fetch(*source, now);
+        peer_exchange_.pull(*source, now);
     }
+    // failed_at() is the epoch unless the last read or watch failed.
     const bool has_lost_store = feed_.failed_at() != clock::time_point{};
     peer_exchange_.tick({.known_revision = mirror_.revision(),
                          .confirmed_at = confirmed_at_,
@@ -250,9 +255,10 @@
     if (!has_initial_state_) {
         has_initial_state_ = true;
         update_source_.on_initial_state(now);
-        // Opening packets that waited in the socket for long are as harmful as those received after
-        // a pause of the process. They are dropped if the last event is further back than
-        // pause_limits::shortest_pause.
+        // Packets have waited in the socket until now. Stale openings among them are
+        // dropped only if the process was paused for pause_limits::min_pause just before: the ticks
+        // call on_event() every 100 ms from the start, so a slow first read alone is not detected,
+        // and openings that waited for it are forwarded.
         pause_guard_.on_event(now);
         packet_socket_.start_receiving();
     }
@@ -312,12 +318,12 @@
 
 void steering_daemon::update_readiness(clock::time_point now) {
     // An isolated instance would drop the packets that the routers go on sending to it, so it
-    // reports that it is not ready and is taken out of rotation. An instance that still receives
-    // responses from targets stays ready, because it may be the only one left in its zone.
-    const bool is_receiving_from_targets =
-        now - steering_.flows().path().answered_at() <= max_target_silence;
-    const bool is_fully_isolated =
-        !is_receiving_from_targets && update_source_.is_isolated(feed_, now);
+    // reports that it is not ready and is taken out of rotation. While callers' packets show that
+    // targets respond to what it forwards, it stays ready, because it may be the only instance left
+    // in its zone.
+    const bool has_recent_responses =
+        now - steering_.flows().path().answered_at() <= max_time_without_response;
+    const bool is_fully_isolated = !has_recent_responses && update_source_.is_isolated(feed_, now);
     const bool is_ready = directory_state().is_complete && !stop_.is_begun() && !is_fully_isolated;
     if (is_ready == is_ready_) {
         return;
@@ -326,10 +332,10 @@
     log_.write(log_event{is_ready ? "ready" : "not_ready"}
                    .with("version", directory_.current_catalogue().version)
                    .with("targets", static_cast<std::int64_t>(directory_.target_count()))
-                   .with("confirmed_ms_ago", confirmed_milliseconds_ago(now)));
+                   .with("confirmed_ms_ago", confirmation_age_milliseconds(now)));
 }
 
-std::int64_t steering_daemon::confirmed_milliseconds_ago(clock::time_point now) const {
+std::int64_t steering_daemon::confirmation_age_milliseconds(clock::time_point now) const {
     return confirmed_at_ == clock::time_point{} ? -1 : (now - confirmed_at_).count();
 }
 
@@ -379,12 +385,15 @@
         }
         return;
     }
-    // Addresses and names are fixed for the lifetime of the process. Only the settings below are
-    // applied without a restart.
+    // Names and addresses are fixed for the lifetime of the process. The stop grace and the flow
+    // lifetime are applied now.
     auto changed = settings_;
     changed.stop_grace = reloaded->stop_grace;
     changed.flow_lifetime = reloaded->flow_lifetime;
-    changed.seeds = reloaded->seeds;  // used at startup only
+    // These are copied so that a change of them is not reported as needing a restart. The seeds in
+    // use were copied at construction and matter only until the initial state is received; ignored
+    // keys have no effect.
+    changed.seeds = reloaded->seeds;
     changed.ignored_keys = reloaded->ignored_keys;
     directory_.set_flow_lifetime(reloaded->flow_lifetime);
     const bool needs_restart = changed != *reloaded;
@@ -409,7 +418,7 @@
     }
     return metrics_.render({.configuration_version = directory_.current_catalogue().version,
                             .known_revision = mirror_.revision(),
-                            .confirmation_age_ms = confirmed_milliseconds_ago(now),
+                            .confirmation_age_ms = confirmation_age_milliseconds(now),
                             .targets = static_cast<std::int64_t>(directory_.target_count()),
                             .zones_out = static_cast<std::int64_t>(directory_.zones_out().size()),
                             .peers = static_cast<std::int64_t>(directory_.peers().size()),
--- a/services/bramleyd/steering_daemon.h
+++ b/services/bramleyd/steering_daemon.h
@@ -1,6 +1,9 @@
-// I/O of an instance that routes by token. Passes datagrams, store responses, timer events and
-// signals to the core (`steering` and the classes of libraries/fleet), and turns its decisions into
-// datagrams and log lines.
+// I/O of an instance that routes by token: in each packet, callers return 32 bits that name the
+// target, so that any instance can route any packet.
+//
+// Passes datagrams, store responses, timer events and signals to `steering` and the classes of
+// libraries/fleet, and turns their decisions into datagrams and log lines. It receives no packets
+// from targets; they respond to callers directly.
 #pragma once
 
 #include <ev++.h>
@@ -28,7 +31,8 @@
 
 namespace bramleytrack {
 
-// The interfaces that a platform adapter provides.
+// What the platform adapter provides: packet and record codecs, the client of the store, and the
+// store entry with which this instance registers itself.
 struct platform_interfaces {
     const steering::segment_codec& packets;
     const discovery::record_reader& records;
@@ -68,7 +72,7 @@
     void stop_when_drained(clock::time_point now);
     std::size_t others_in_rotation(clock::time_point now) const;
     steering::directory_state directory_state() const;
-    std::int64_t confirmed_milliseconds_ago(clock::time_point now) const;  // -1 if never
+    std::int64_t confirmation_age_milliseconds(clock::time_point now) const;  // -1 if never
     std::string render_metrics();
 
     settings::steering_settings settings_;
--- a/services/bramleyd/target_checks.cpp
+++ b/services/bramleyd/target_checks.cpp
@@ -17,8 +17,8 @@
     return result;
 }
 
-// "peers_before" is logged if no peer was queried because peers had already reported the target
-// dead.
+// The value of the log field "confirmed_by". It is "peers_before" if no peer was queried in this
+// check, because an earlier verdict that peers had confirmed was still valid.
 std::string join_names(std::span<const std::string> names) {
     std::string result;
     for (const auto& each : names) {
@@ -30,9 +30,9 @@
 }  // namespace
 
 target_checks::target_checks(ev::loop_ref loop, const settings::steering_settings& settings,
-                             const discovery::directory& directory, steering::steering& core,
+                             const discovery::directory& directory, steering::steering& steering,
                              peer_exchange& peers, event_log& log)
-    : core_{core},
+    : steering_{steering},
       peer_exchange_{peers},
       log_{log},
       failure_detector_{directory, settings.name, settings.zone, *this},
@@ -52,7 +52,7 @@
 }
 
 void target_checks::check_suspects(clock::time_point now) {
-    for (const auto token : core_.take_suspects(now)) {
+    for (const auto token : steering_.take_suspects(now)) {
         failure_detector_.suspect(token, now);
     }
 }
@@ -68,7 +68,7 @@
         const auto token = static_cast<discovery::routing_token>(each.token);
         failure_detector_.on_reported_dead(peer,
                                            {.token = token, .age = clock::duration{each.age_ms}},
-                                           core_.flows().health(token).flows > 0, now);
+                                           steering_.flows().health(token).flows > 0, now);
     }
 }
 
@@ -101,16 +101,16 @@
                        .with("confirmed_by", join_names(confirmed_by))
                        .with("target_age_ms", (now - target.changed_at).count()));
     }
-    core_.on_target_dead(target, probed_at, now);
+    steering_.on_target_dead(target, probed_at, now);
     flows_ended_callback_();
 }
 
 void target_checks::on_reported_dead(const discovery::target& target, clock::time_point until) {
-    core_.on_target_reported_dead(target, until);
+    steering_.on_target_reported_dead(target, until);
 }
 
 void target_checks::on_reached(const discovery::target& target) {
-    core_.on_target_reached(target);
+    steering_.on_target_reached(target);
 }
 
 }  // namespace bramleytrack
--- a/services/bramleyd/target_checks.h
+++ b/services/bramleyd/target_checks.h
@@ -23,7 +23,7 @@
 class target_checks final : private fleet::failure_detector_actions {
 public:
     target_checks(ev::loop_ref loop, const settings::steering_settings& settings,
-                  const discovery::directory& directory, steering::steering& core,
+                  const discovery::directory& directory, steering::steering& steering,
                   peer_exchange& peers, event_log& log);
 
     // Called after flows of a dead target were ended, when their resets are ready to be sent.
@@ -31,8 +31,9 @@
         flows_ended_callback_ = std::move(callback);
     }
 
-    // Starts checks of the targets that the core has newly marked as suspect.
+    // Starts checks of the targets that `steering` has newly reported as suspect.
     void check_suspects(clock::time_point now);
+    // A store entry of the target was received, which counts as evidence that it is alive.
     void on_entry(std::string_view target_id);
     void expire(clock::time_point now) { failure_detector_.expire(now); }
 
@@ -53,7 +54,7 @@
     void on_dead_targets(std::string_view peer, std::span<const wire::dead_target_report> reports,
                          clock::time_point now);
 
-    steering::steering& core_;
+    steering::steering& steering_;
     peer_exchange& peer_exchange_;
     event_log& log_;
     fleet::target_failure_detector failure_detector_;
