--- a/services/bramleyd/balancer_daemon.h
+++ b/services/bramleyd/balancer_daemon.h
@@ -1,6 +1,7 @@
-// I/O of an instance that routes by target ownership. Passes datagrams, store and HTTP responses,
-// and timer events to the core (`instance`), and performs the actions that the core returns:
-// sending datagrams, writing log lines and updating metrics. All decisions are made in the core.
+// I/O of an instance that routes by target ownership: one instance owns each target and accounts
+// for its load. Passes datagrams, store and HTTP responses, and timer events to the core
+// (`instance`), and performs the actions that the core returns: sending datagrams, writing log
+// lines and updating metrics. All decisions are made in the core.
 #pragma once
 
 #include <ev++.h>
