--- a/tests/platform_adapter_test.cpp
+++ b/tests/platform_adapter_test.cpp
@@ -18,7 +18,7 @@
 constexpr std::array<std::uint8_t, 32> example_opening{
     0x9c, 0x41, 0x64, 0x40, 0x00, 0x07, 0x01, 0xbb, 0xc6, 0x12, 0x00, 0x01, 0x00, 0x00, 0x00, 0x00,
     0xa1, 0xb2, 0xc3, 0xd5, 0x11, 0x22, 0x33, 0x44, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x40, 0x00};
-// The reset that answers it.
+// The reset that rejects it.
 constexpr std::array<std::uint8_t, 32> example_reset{
     0x01, 0xbb, 0xc6, 0x12, 0x00, 0x01, 0x9c, 0x41, 0x64, 0x40, 0x00, 0x07, 0x00, 0x00, 0x00, 0x00,
     0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x10, 0x00};
@@ -37,9 +37,9 @@
 }
 
 TEST(packet_codec, decodes_the_copy_number_from_the_acknowledgement_field) {
-    auto copy = example_opening;
-    copy[27] = 2;
-    const auto decoded = std::get<segment>(packet_codec{}.decode(copy));
+    auto retransmission = example_opening;
+    retransmission[27] = 2;
+    const auto decoded = std::get<segment>(packet_codec{}.decode(retransmission));
     EXPECT_EQ(decoded.copy, 2U);
     EXPECT_EQ(decoded.acknowledged, 0U);
 }
@@ -153,6 +153,7 @@
         record_codec{}.read("servers/", valid_entry)));
 }
 
+// The configuration in the store is the catalogue of libraries/discovery.
 TEST(record_codec, decodes_a_configuration) {
     const auto configuration = read<discovery::catalogue>(
         "op/config",
