--- a/services/bramleybench/main.cpp
+++ b/services/bramleybench/main.cpp
@@ -65,9 +65,9 @@
         }
         std::vector<request_result> results;
         for (int seed = 1; seed <= wanted.seeds; ++seed) {
-            results.push_back(play(pattern, table, static_cast<std::uint64_t>(seed)));
+            results.push_back(simulate_requests(pattern, table, static_cast<std::uint64_t>(seed)));
         }
-        print(wanted, pattern.name, pattern.plays, figures_of(merge(results)));
+        print(wanted, pattern.name, pattern.description, figures_of(merge(results)));
     }
 }
 
--- a/services/bramleybench/request_experiment.h
+++ b/services/bramleybench/request_experiment.h
@@ -1,5 +1,5 @@
-// Plays requests against target models through the admission decisions, as an owner would call
-// them, and counts what callers get. Neither network nor cluster is modelled.
+// Simulates requests to model targets with the real admission decisions, called as an owner calls
+// them, and records the results by member. Neither the network nor the cluster is modelled.
 #pragma once
 
 #include <cstdint>
@@ -15,26 +15,27 @@
 namespace bramleytrack::experiments {
 
 struct member_result {
-    int offered = 0;  // requests, repeats not counted
+    int offered = 0;  // requests, without retries
     int answered = 0;
-    int refused = 0;  // and not sent again
+    int refused = 0;  // and not retried
     int unknown = 0;
-    double demand = 0;             // service time offered, milliseconds
-    double done = 0;               // service time of what was answered in time, milliseconds
-    std::vector<int> waits;        // for a slot, of dispatched requests, milliseconds
-    std::vector<int> short_waits;  // of those that are not long
+    double demand = 0;             // offered service time, milliseconds
+    double completed = 0;          // service time of requests answered in time, milliseconds
+    std::vector<int> waits;        // queueing delays of dispatched requests, milliseconds
+    std::vector<int> short_waits;  // those of short requests
 };
 
 struct request_result {
     std::map<std::string, member_result> members;
-    std::vector<int> refusal_delays;  // from the request to its refusal, milliseconds
-    std::vector<int> rounds;          // how often answered requests had been refused before
-    double capacity = 0;              // service time that the slots could give, milliseconds
-    int most_in_use = 0;              // requests at one target at a time
-    int back_at_once = 0;             // most refused callers that came back within 100 ms
+    std::vector<int> refusal_delays;   // from the request to its refusal, milliseconds
+    std::vector<int> refusals;         // refusals of each answered request before it was answered
+    double capacity = 0;               // service time available in all slots, milliseconds
+    int max_in_use = 0;                // maximum of concurrent requests at one target
+    int max_simultaneous_retries = 0;  // maximum of retries within 100 ms
 };
 
-// Throws nothing; the same seed gives the same result.
-request_result play(const scenario& pattern, const load::strategies& how, std::uint64_t seed);
+// Does not throw. The same seed gives the same result.
+request_result simulate_requests(const scenario& pattern, const load::strategies& strategies,
+                                 std::uint64_t seed);
 
 }  // namespace bramleytrack::experiments
--- a/services/bramleybench/scenario.h
+++ b/services/bramleybench/scenario.h
@@ -1,4 +1,5 @@
-// The patterns of load that bramleybench plays.
+// Load patterns of the request experiment. Their figures measure fairness between members, refusals
+// and queueing delays.
 #pragma once
 
 #include <span>
@@ -11,14 +12,14 @@
 
 struct member_pattern {
     std::string_view name;
-    double load = 0;        // service time offered, as a multiple of what all targets can do
-    double long_share = 0;  // of its requests; these take long_factor times as long
-    int callers = 0;        // 0: new callers all the time; else so many send all of it
+    double load = 0;        // offered service time, as a multiple of the capacity of all targets
+    double long_share = 0;  // share of its requests that take long_factor times as long
+    int callers = 0;        // that send all of this load; 0: a new caller for each request
 };
 
 struct scenario {
     std::string_view name;
-    std::string_view plays;
+    std::string_view description;
     std::vector<member_pattern> members;
     int targets = 14;
     int slots = 2;
@@ -26,12 +27,12 @@
     double long_factor = 25;
     clock::duration deadline{400};
     clock::duration length{30'000};
-    // Only for so long at the beginning, if not zero.
+    // If not zero, requests arrive only during this time at the beginning.
     clock::duration burst{0};
-    // The first target takes so much longer from the middle on.
+    // Factor by which the first target's service times grow in the second half of the run.
     double slow_factor = 1;
-    // Refused callers send again when they are told to, at most so often.
-    int repeats = 0;
+    // Refused callers retry after their Retry-After time, at most this often.
+    int max_retries = 0;
 };
 
 std::span<const scenario> all_scenarios();
--- a/services/bramleybench/summary.h
+++ b/services/bramleybench/summary.h
@@ -1,4 +1,4 @@
-// Figures drawn from the results of several seeds.
+// Summary statistics of the request experiment, over one or several seeds.
 #pragma once
 
 #include <span>
@@ -9,13 +9,13 @@
 
 namespace bramleytrack::experiments {
 
-// Nearest rank; 0 when there are no values. `part` is between 0 and 1.
-double quantile(std::vector<int> values, double part);
+// Nearest-rank quantile; 0 if there are no values. `probability` is between 0 and 1.
+double quantile(std::vector<int> values, double probability);
 
-// What each member would get of `capacity` if it were shared max-min fairly.
+// The max-min fair share of `capacity` for each of the demands.
 std::vector<double> fair_shares(std::span<const double> demands, double capacity);
 
-// 1 when all are equal, 1/n when one has everything (Jain, Chiu and Hawe 1984).
+// Fairness index (Jain, Chiu and Hawe 1984): 1 if all values are equal, 1/n if one has everything.
 double jain_index(std::span<const double> values);
 
 struct figure {
@@ -23,7 +23,7 @@
     double value = 0;
 };
 
-// Of one run, or of a whole set when the results of its seeds were merged.
+// Figures of one run, or of several seeds whose results were merged.
 std::vector<figure> figures_of(const request_result& result);
 
 request_result merge(std::span<const request_result> results);
--- a/tests/load_queue_test.cpp
+++ b/tests/load_queue_test.cpp
@@ -22,8 +22,8 @@
     const auto table = experiments::strategies_without(without);
     std::vector<experiments::request_result> results;
     for (int seed = 1; seed <= seeds; ++seed) {
-        results.push_back(experiments::play(*experiments::find_scenario(name), table,
-                                            static_cast<std::uint64_t>(seed)));
+        results.push_back(experiments::simulate_requests(*experiments::find_scenario(name), table,
+                                                         static_cast<std::uint64_t>(seed)));
     }
     std::map<std::string, double> figures;
     for (const auto& each : experiments::figures_of(experiments::merge(results))) {
