--- a/services/bramleybench/baselines.h
+++ b/services/bramleybench/baselines.h
@@ -1,5 +1,5 @@
-// What each decision is compared with: the table of strategies with one entry replaced by the plain
-// way of doing it.
+// Baselines that the experiments compare each decision with: the strategy table with the entries of
+// one decision replaced by a simple implementation.
 #pragma once
 
 #include <span>
@@ -12,14 +12,15 @@
 namespace bramleytrack::experiments {
 
 struct baseline {
-    std::string_view name;  // of the decision that is taken out
-    std::string_view instead;
+    std::string_view name;  // of the decision that is replaced
+    std::string_view replacement;
     void (*apply)(load::strategies& table);
 };
 
 std::span<const baseline> all_baselines();
 
-// The strategies without the named decisions; throws std::invalid_argument for an unknown name.
+// The default strategies with the named decisions replaced by their baselines. Throws
+// std::invalid_argument for an unknown name.
 load::strategies strategies_without(const std::vector<std::string>& names);
 
 }  // namespace bramleytrack::experiments
