--- a/services/bramleybench/main.cpp
+++ b/services/bramleybench/main.cpp
@@ -86,12 +86,12 @@
 }
 
 // Decisions about flows have names of their own.
-placement_choice choice_without(const options& wanted, const std::vector<std::string>& names) {
-    placement_choice choice;
+placement_features choice_without(const options& wanted, const std::vector<std::string>& names) {
+    placement_features choice;
     choice.threshold = wanted.threshold;
     for (const auto& name : names) {
-        choice.takes_first = choice.takes_first || name == "second_candidate";
-        choice.counts_own = choice.counts_own && name != "own_placements";
+        choice.uses_first_candidate = choice.uses_first_candidate || name == "second_candidate";
+        choice.counts_own_placements = choice.counts_own_placements && name != "own_placements";
         choice.threshold = name == "threshold" ? 0 : choice.threshold;
     }
     return choice;
@@ -104,7 +104,7 @@
             continue;
         }
         const auto figures = mean_of(wanted.seeds, [&](std::uint64_t seed) {
-            return play_placement(pattern, choice, seed);
+            return simulate_placement(pattern, choice, seed);
         });
         print(wanted, pattern.name, "flows opened and closed by several homes", figures);
     }
--- a/services/bramleybench/placement_experiment.cpp
+++ b/services/bramleybench/placement_experiment.cpp
@@ -17,13 +17,13 @@
 constexpr double length_ms = 60'000;
 constexpr double sample_ms = 100;
 constexpr std::size_t members = 4;
-constexpr double beat_ms = static_cast<double>(membership::heartbeat_interval.count());
+constexpr double heartbeat_ms = static_cast<double>(membership::heartbeat_interval.count());
 
 class placement_experiment {
 public:
-    placement_experiment(const placement_pattern& pattern, const placement_choice& choice,
+    placement_experiment(const placement_pattern& pattern, const placement_features& features,
                          std::uint64_t seed)
-        : pattern_{pattern}, choice_{choice}, random_{seed} {
+        : pattern_{pattern}, features_{features}, random_{seed} {
         const auto count = static_cast<std::size_t>(pattern.targets);
         configuration_.zones.push_back({.name = "z"});
         configuration_.services.push_back({.name = "s", .address = "s", .depends_on = {}});
@@ -37,12 +37,12 @@
         }
         configuration_.build_indexes();
         open_.resize(count);
-        by_member_.assign(members, std::vector<int>(count));
-        const auto homes = static_cast<std::size_t>(pattern.homes);
+        open_by_member_.assign(members, std::vector<int>(count));
+        const auto owners = static_cast<std::size_t>(pattern.owners);
         received_.resize(count);
-        memories_.resize(homes);
-        for (std::size_t home = 0; home < homes; ++home) {
-            next_beat_.push_back(std::uniform_real_distribution<>{0, beat_ms}(random_));
+        unreported_.resize(owners);
+        for (std::size_t owner = 0; owner < owners; ++owner) {
+            next_heartbeat_.push_back(std::uniform_real_distribution<>{0, heartbeat_ms}(random_));
         }
     }
 
@@ -52,102 +52,106 @@
         const double mean_gap = 1'000 / pattern_.opened_per_second;
         while (now < length_ms) {
             now += std::exponential_distribution<>{1 / mean_gap}(random_);
-            close_until(now);
-            beat_until(now);
+            close_flows_until(now);
+            send_heartbeats_until(now);
             while (now >= next_sample) {
                 sample();
                 next_sample += sample_ms;
             }
-            open(now);
+            open_flow(now);
         }
         return figures();
     }
 
 private:
-    struct end_of_flow {
-        double at;
+    struct flow_end {
+        double time;
         std::size_t target;
         std::size_t member;
-        bool operator>(const end_of_flow& other) const { return at > other.at; }
+        bool operator>(const flow_end& other) const { return time > other.time; }
     };
 
     double heavy_weight() {
         constexpr double shape = 1.2;
-        constexpr double largest = 20;
+        constexpr double max_weight = 20;
         const double uniform = std::uniform_real_distribution<>{0, 1}(random_);
-        return std::min(largest, std::pow(1 - uniform, -1 / shape));
+        return std::min(max_weight, std::pow(1 - uniform, -1 / shape));
     }
 
-    std::size_t home_of(std::size_t target) const { return target % memories_.size(); }
+    std::size_t owner_of(std::size_t target) const { return target % unreported_.size(); }
 
-    void close_until(double now) {
-        while (!ends_.empty() && ends_.top().at <= now) {
+    void close_flows_until(double now) {
+        while (!ends_.empty() && ends_.top().time <= now) {
             --open_[ends_.top().target];
-            --by_member_[ends_.top().member][ends_.top().target];
+            --open_by_member_[ends_.top().member][ends_.top().target];
             ends_.pop();
         }
     }
 
-    void beat_until(double now) {
-        for (std::size_t home = 0; home < next_beat_.size(); ++home) {
-            if (now < next_beat_[home]) {
+    void send_heartbeats_until(double now) {
+        for (std::size_t owner = 0; owner < next_heartbeat_.size(); ++owner) {
+            if (now < next_heartbeat_[owner]) {
                 continue;
             }
-            next_beat_[home] += beat_ms;
-            for (std::size_t target = home; target < open_.size(); target += next_beat_.size()) {
+            next_heartbeat_[owner] += heartbeat_ms;
+            for (std::size_t target = owner; target < open_.size();
+                 target += next_heartbeat_.size()) {
                 received_[target] = open_[target];
-                for (auto& memory : memories_) {
-                    memory.reset_on_report(configuration_.targets[target].name);
+                for (auto& placements : unreported_) {
+                    placements.reset_on_report(configuration_.targets[target].name);
                 }
             }
         }
     }
 
-    void open(double now) {
+    void open_flow(double now) {
         const auto found = routing::candidates_of(configuration_, "s", random_());
         const auto index_of = [this](const configuration::target* each) {
             return static_cast<std::size_t>(each - configuration_.targets.data());
         };
-        const auto home = home_of(index_of(found.front()));
+        const auto owner = owner_of(index_of(found.front()));
         std::vector<load::candidate> candidates;
         for (const auto* each : found) {
             const auto index = index_of(each);
-            const bool is_own = home_of(index) == home;
-            const int since =
-                choice_.counts_own ? memories_[home].placed_since_report(each->name) : 0;
-            const int load = is_own ? open_[index] : received_[index] + since;
+            const bool is_local = owner_of(index) == owner;
+            const int own_placements = features_.counts_own_placements
+                                           ? unreported_[owner].placed_since_report(each->name)
+                                           : 0;
+            const int load = is_local ? open_[index] : received_[index] + own_placements;
             candidates.push_back({.is_eligible = true, .relative_load = load / each->weight});
         }
-        const auto order = load::order_candidates(candidates, choice_.threshold);
-        const auto chosen = choice_.takes_first ? 0 : order.front();
+        const auto order = load::order_candidates(candidates, features_.threshold);
+        const auto chosen = features_.uses_first_candidate ? 0 : order.front();
         const auto target = index_of(found[chosen]);
         const auto member = random_() % members;
         if (now > warm_up_ms) {
             ++placed_;
             moved_ += chosen == 0 ? 0 : 1;
         }
-        if (home_of(target) != home) {
-            memories_[home].record_placement(found[chosen]->name);
+        if (owner_of(target) != owner) {
+            unreported_[owner].record_placement(found[chosen]->name);
         }
         ++open_[target];
-        ++by_member_[member][target];
-        const double life = std::exponential_distribution<>{1 / pattern_.mean_life_ms}(random_);
-        ends_.push({now + life, target, member});
+        ++open_by_member_[member][target];
+        const double lifetime =
+            std::exponential_distribution<>{1 / pattern_.mean_lifetime_ms}(random_);
+        ends_.push({now + lifetime, target, member});
     }
 
     double imbalance_of(const std::vector<int>& counts) const {
-        double most = 0;
+        double max_relative_load = 0;
         double weights = 0;
         for (std::size_t i = 0; i < counts.size(); ++i) {
-            most = std::max(most, counts[i] / configuration_.targets[i].weight);
+            max_relative_load =
+                std::max(max_relative_load, counts[i] / configuration_.targets[i].weight);
             weights += configuration_.targets[i].weight;
         }
-        return most * weights / std::accumulate(counts.begin(), counts.end(), 0.0);
+        return max_relative_load * weights / std::accumulate(counts.begin(), counts.end(), 0.0);
     }
 
     void sample() {
         samples_.push_back(imbalance_of(open_));
-        for (const auto& each : by_member_) {
+        for (const auto& each : open_by_member_) {
             member_samples_.push_back(imbalance_of(each));
         }
     }
@@ -165,15 +169,15 @@
     }
 
     const placement_pattern& pattern_;
-    const placement_choice& choice_;
+    const placement_features& features_;
     std::mt19937_64 random_;
     configuration::configuration configuration_;
     std::vector<int> open_;      // by target
     std::vector<int> received_;  // by target, as of its owner's last heartbeat
-    std::vector<std::vector<int>> by_member_;
-    std::vector<load::unreported_placements> memories_;  // by home
-    std::vector<double> next_beat_;                      // by home
-    std::priority_queue<end_of_flow, std::vector<end_of_flow>, std::greater<>> ends_;
+    std::vector<std::vector<int>> open_by_member_;
+    std::vector<load::unreported_placements> unreported_;  // by owner
+    std::vector<double> next_heartbeat_;                   // by owner
+    std::priority_queue<flow_end, std::vector<flow_end>, std::greater<>> ends_;
     std::vector<double> samples_;
     std::vector<double> member_samples_;
     std::int64_t placed_ = 0;
@@ -187,12 +191,12 @@
             {.name = "placement_4", .targets = 4},
             {.name = "placement_14_heavy", .has_heavy_tail = true},
             {.name = "placement_4_heavy", .targets = 4, .has_heavy_tail = true},
-            {.name = "placement_14_fast", .opened_per_second = 5'000, .mean_life_ms = 4'000}};
+            {.name = "placement_14_fast", .opened_per_second = 5'000, .mean_lifetime_ms = 4'000}};
 }
 
-std::vector<figure> play_placement(const placement_pattern& pattern, const placement_choice& choice,
-                                   std::uint64_t seed) {
-    return placement_experiment{pattern, choice, seed}.run();
+std::vector<figure> simulate_placement(const placement_pattern& pattern,
+                                       const placement_features& features, std::uint64_t seed) {
+    return placement_experiment{pattern, features, seed}.run();
 }
 
 }  // namespace bramleytrack::experiments
--- a/services/bramleybench/placement_experiment.h
+++ b/services/bramleybench/placement_experiment.h
@@ -1,5 +1,6 @@
-// Plays the opening and closing of flows against the placement decision: several homes, heartbeats
-// every 500 ms, and candidates by the real hash.
+// Simulates the opening and closing of flows at several owners that exchange heartbeats at 500 ms
+// intervals. Runs the real candidate hash and placement decision, and measures the load imbalance
+// of the targets and the share of flows that are not on their first candidate.
 #pragma once
 
 #include <cstdint>
@@ -13,21 +14,21 @@
 struct placement_pattern {
     std::string_view name;
     int targets = 14;
-    bool has_heavy_tail = false;  // target weights by a Pareto distribution, 1 to 20
-    int homes = 9;
+    bool has_heavy_tail = false;  // Pareto-distributed target weights, 1 to 20
+    int owners = 9;
     double opened_per_second = 2'000;
-    double mean_life_ms = 10'000;
+    double mean_lifetime_ms = 10'000;
 };
 
-struct placement_choice {
-    bool takes_first = false;  // by the hash alone
-    bool counts_own = true;    // what this home placed since the last heartbeat
-    double threshold = 0;      // see load::second_choice_threshold
+struct placement_features {
+    bool uses_first_candidate = false;  // place by the hash alone
+    bool counts_own_placements = true;  // placements of this owner since the last heartbeat
+    double threshold = 0;               // see load::second_choice_threshold
 };
 
 std::vector<placement_pattern> all_placement_patterns();
 
-std::vector<figure> play_placement(const placement_pattern& pattern, const placement_choice& choice,
-                                   std::uint64_t seed);
+std::vector<figure> simulate_placement(const placement_pattern& pattern,
+                                       const placement_features& features, std::uint64_t seed);
 
 }  // namespace bramleytrack::experiments
--- a/tests/load_placement_test.cpp
+++ b/tests/load_placement_test.cpp
@@ -11,24 +11,24 @@
 namespace {
 
 std::map<std::string, double> run_pattern(std::string_view name,
-                                          const experiments::placement_choice& choice) {
+                                          const experiments::placement_features& choice) {
     std::map<std::string, double> figures;
     for (const auto& pattern : experiments::all_placement_patterns()) {
         if (pattern.name != name) {
             continue;
         }
-        for (const auto& each : experiments::play_placement(pattern, choice, 1)) {
+        for (const auto& each : experiments::simulate_placement(pattern, choice, 1)) {
             figures[each.name] = each.value;
         }
     }
     return figures;
 }
 
-const experiments::placement_choice default_choice{.threshold = load::second_choice_threshold};
+const experiments::placement_features default_choice{.threshold = load::second_choice_threshold};
 
 // By the hash alone the most loaded targets have 5 to 8% more flows than the mean.
 TEST(load_placement, flows_are_balanced_across_equal_targets) {
-    EXPECT_GT(run_pattern("placement_14", {.takes_first = true})["imbalance_p99"], 1.05);
+    EXPECT_GT(run_pattern("placement_14", {.uses_first_candidate = true})["imbalance_p99"], 1.05);
     for (const auto* name : {"placement_14", "placement_4"}) {
         EXPECT_LE(run_pattern(name, default_choice)["imbalance_p99"], 1.02) << name;
     }
@@ -49,7 +49,7 @@
 // itself, all of them keep sending to the target that was least loaded in the last heartbeat.
 TEST(load_placement, homes_count_their_placements_since_the_last_heartbeat) {
     auto without_own_count = default_choice;
-    without_own_count.counts_own = false;
+    without_own_count.counts_own_placements = false;
     EXPECT_LT(run_pattern("placement_14_fast", default_choice)["imbalance_p99"],
               run_pattern("placement_14_fast", without_own_count)["imbalance_p99"]);
 }
