--- a/services/bramleybench/cold_experiment.h
+++ b/services/bramleybench/cold_experiment.h
@@ -1,5 +1,6 @@
-// Plays cold starts and a zone that leaves and returns at peak against the decisions on flows:
-// admission by each target's owner, placement, and what the owner takes for a cold start.
+// Simulates target restarts, and a zone outage whose targets return cold, under a constant rate of
+// new flows. Runs the real flow admission, placement and cold-start detection, and measures how far
+// cold targets exceed their connection bound and how long the load takes to become even again.
 #pragma once
 
 #include <cstdint>
@@ -11,26 +12,26 @@
 namespace bramleytrack::experiments {
 
 enum class reporting {
-    late,    // reports show the target as it was three seconds before
-    misled,  // reports always say that the target is warm
+    delayed,      // reports show the state of the target three seconds earlier
+    always_warm,  // reports always claim that the target is warm
 };
 
-struct cold_pattern {
+struct cold_start_pattern {
     std::string_view name;
-    std::string_view plays;
-    int restarted = 1;              // targets that start again without warning, at once
-    bool does_zone_return = false;  // instead: the first zone is out for 20 s, comes back cold
-    reporting reports = reporting::late;
+    std::string_view description;
+    int restarted_targets = 1;     // targets that restart unannounced at the same time
+    bool has_zone_outage = false;  // instead: the first zone is out for 20 s and returns cold
+    reporting reports = reporting::delayed;
 };
 
-struct cold_choice {
-    bool uses_own_observation = true;  // lost flows, and that the target was out of service
-    bool has_ramp = true;              // else only the operators' bound on connections
+struct cold_start_features {
+    bool uses_own_observation = true;  // lost flows and out-of-service periods
+    bool has_ramp = true;              // else only the configured connection limit applies
 };
 
-std::vector<cold_pattern> all_cold_patterns();
+std::vector<cold_start_pattern> all_cold_start_patterns();
 
-std::vector<figure> play_cold(const cold_pattern& pattern, const cold_choice& choice,
-                              std::uint64_t seed);
+std::vector<figure> simulate_cold_start(const cold_start_pattern& pattern,
+                                        const cold_start_features& features, std::uint64_t seed);
 
 }  // namespace bramleytrack::experiments
--- a/services/bramleybench/main.cpp
+++ b/services/bramleybench/main.cpp
@@ -111,18 +111,19 @@
 }
 
 void run_cold_starts(const options& wanted) {
-    cold_choice choice;
+    cold_start_features choice;
     for (const auto& name : split(wanted.without)) {
         choice.uses_own_observation = choice.uses_own_observation && name != "cold_observation";
         choice.has_ramp = choice.has_ramp && name != "cold_start";
     }
-    for (const auto& pattern : all_cold_patterns()) {
+    for (const auto& pattern : all_cold_start_patterns()) {
         if (!is_wanted(wanted, pattern.name)) {
             continue;
         }
-        const auto figures = mean_of(
-            wanted.seeds, [&](std::uint64_t seed) { return play_cold(pattern, choice, seed); });
-        print(wanted, pattern.name, pattern.plays, figures);
+        const auto figures = mean_of(wanted.seeds, [&](std::uint64_t seed) {
+            return simulate_cold_start(pattern, choice, seed);
+        });
+        print(wanted, pattern.name, pattern.description, figures);
     }
 }
 
--- a/tests/load_cold_start_test.cpp
+++ b/tests/load_cold_start_test.cpp
@@ -15,13 +15,13 @@
 constexpr clock::time_point start = to_time_point(1'000'000);
 
 std::map<std::string, double> run_pattern(std::string_view name,
-                                          const experiments::cold_choice& choice = {}) {
+                                          const experiments::cold_start_features& choice = {}) {
     std::map<std::string, double> figures;
-    for (const auto& pattern : experiments::all_cold_patterns()) {
+    for (const auto& pattern : experiments::all_cold_start_patterns()) {
         if (pattern.name != name) {
             continue;
         }
-        for (const auto& each : experiments::play_cold(pattern, choice, 1)) {
+        for (const auto& each : experiments::simulate_cold_start(pattern, choice, 1)) {
             figures[each.name] = each.value;
         }
     }
