--- a/services/bramleybench/main.cpp
+++ b/services/bramleybench/main.cpp
@@ -128,23 +128,24 @@
 }
 
 void run_overloads(const options& wanted) {
-    overload_choice choice;
+    overload_features choice;
     for (const auto& name : split(wanted.without)) {
-        choice.has_limit = choice.has_limit && name != "open_request_limit";
+        choice.limits_open_requests = choice.limits_open_requests && name != "open_request_limit";
         choice.shares_loads = choice.shares_loads && name != "shared_loads";
         choice.shares_demands = choice.shares_demands && name != "shared_demands";
-        choice.knows_callers = choice.knows_callers && name != "caller_shares";
-        choice.checks_targets = choice.checks_targets && name != "target_checks";
-        choice.heeds_copies = choice.heeds_copies && name != "opening_copies";
-        choice.ends_dead_flows = choice.ends_dead_flows && name != "dead_flows";
+        choice.identifies_callers = choice.identifies_callers && name != "caller_shares";
+        choice.probes_targets = choice.probes_targets && name != "target_checks";
+        choice.handles_opening_copies = choice.handles_opening_copies && name != "opening_copies";
+        choice.resets_dead_flows = choice.resets_dead_flows && name != "dead_flows";
     }
     for (const auto& pattern : all_overload_patterns()) {
         if (!is_wanted(wanted, pattern.name)) {
             continue;
         }
-        const auto figures = mean_of(
-            wanted.seeds, [&](std::uint64_t seed) { return play_overload(pattern, choice, seed); });
-        print(wanted, pattern.name, pattern.plays, figures);
+        const auto figures = mean_of(wanted.seeds, [&](std::uint64_t seed) {
+            return simulate_overload(pattern, choice, seed);
+        });
+        print(wanted, pattern.name, pattern.description, figures);
     }
 }
 
--- a/services/bramleybench/overload_fleet.h
+++ b/services/bramleybench/overload_fleet.h
@@ -1,4 +1,5 @@
-// The instances of an overload run: real decisions, with what they know of each other.
+// The instances of an overload experiment. They run the real steering code and failure detectors,
+// and exchange digests and target verdicts in memory.
 #pragma once
 
 #include <cstddef>
@@ -22,13 +23,13 @@
 
 class overload_fleet {
 public:
-    // Routes to the same service.
+    // Ports of routes to the same service.
     static constexpr std::uint16_t short_port = 443;
     static constexpr std::uint16_t long_port = 444;
     static constexpr std::uint16_t urgent_port = 445;
-    static constexpr std::uint16_t unused_port = 446;  // ranked first, and nobody asks by it
+    static constexpr std::uint16_t unused_port = 446;  // highest priority, but no caller uses it
 
-    overload_fleet(const overload_pattern& pattern, const overload_choice& choice,
+    overload_fleet(const overload_pattern& pattern, const overload_features& features,
                    clock::time_point start);
 
     overload_fleet(const overload_fleet&) = delete;
@@ -38,38 +39,41 @@
     std::span<const std::size_t> instances_of(std::size_t zone) const {
         return instances_of_zone_[zone];
     }
-    steering::steering& core(std::size_t number) { return *instances_[number].core; }
-    // The number of the target, from 0 on.
-    std::size_t host_of(steering::routing_token token) const { return host_of_.at(token); }
+    steering::steering& core(std::size_t index) { return *instances_[index].core; }
+    // Index of the target, starting with 0.
+    std::size_t target_index_of(steering::routing_token token) const {
+        return target_index_by_token_.at(token);
+    }
     void exchange_digests(clock::time_point now);
 
-    // Told that an instance tries to reach a target; on_probed is to be called with the outcome.
-    using probe_callback = std::function<void(std::size_t instance, std::size_t host)>;
+    // Called when an instance probes a target. The owner of the fleet must report the result to
+    // on_probed().
+    using probe_callback = std::function<void(std::size_t instance, std::size_t target)>;
     void on_probe(probe_callback callback) { probe_ = std::move(callback); }
-    void on_probed(std::size_t number, std::size_t host, bool is_reachable, clock::time_point now);
-    // Checks the targets that the instance has become suspicious of.
-    void check_suspects(std::size_t number, clock::time_point now);
+    void on_probed(std::size_t index, std::size_t target, bool is_reachable, clock::time_point now);
+    // Starts the failure detection of the targets that the instance suspects.
+    void probe_suspected_targets(std::size_t index, clock::time_point now);
 
 private:
-    class quiet_log final : public event_log {
+    class null_log final : public event_log {
     public:
         bool admits(log_kind /*kind*/, clock::time_point /*now*/) override { return false; }
         void write(const log_event& /*event*/) override {}
     };
 
-    class no_observer final : public steering::flow_observer {
+    class null_observer final : public steering::flow_observer {
     public:
         void on_opening_answered(const discovery::target& /*by*/,
                                  clock::duration /*took*/) override {}
         void on_answer(const discovery::target& /*by*/, clock::duration /*took*/) override {}
         void on_decision(std::string_view /*service*/,
-                         const steering::decision& /*made*/) override {}
+                         const steering::decision& /*decision*/) override {}
     };
 
-    // What an instance does in the course of an inquiry.
-    class checks final : public fleet::failure_detector_actions {
+    // Carries out the actions of an instance's target failure detector.
+    class detector_actions final : public fleet::failure_detector_actions {
     public:
-        checks(overload_fleet& fleet, std::size_t number) : fleet_{fleet}, number_{number} {}
+        detector_actions(overload_fleet& fleet, std::size_t index) : fleet_{fleet}, index_{index} {}
 
         void probe(const discovery::target& target) override;
         void request_indirect_probe(const discovery::peer_entry& peer,
@@ -83,13 +87,13 @@
 
     private:
         overload_fleet& fleet_;
-        std::size_t number_;
+        std::size_t index_;
     };
 
     struct instance {
         std::string name;
-        std::unique_ptr<checks> actions;
-        std::unique_ptr<fleet::target_failure_detector> inquiries;
+        std::unique_ptr<detector_actions> actions;
+        std::unique_ptr<fleet::target_failure_detector> failure_detector;
         std::unique_ptr<fleet::peer_digests> digests;
         std::unique_ptr<steering::cold_gate> cold;
         std::unique_ptr<steering::steering> core;
@@ -98,19 +102,19 @@
     void add_routes(clock::time_point start);
     void add_targets(clock::time_point start);
     void add_instance(std::size_t zone);
-    wire::digest digest_of(const instance& subject, clock::time_point now) const;
+    wire::digest digest_of(const instance& source, clock::time_point now) const;
 
     overload_pattern pattern_;
-    overload_choice choice_;
-    discovery::directory known_;
-    quiet_log log_;
-    no_observer observer_;
+    overload_features features_;
+    discovery::directory directory_;
+    null_log log_;
+    null_observer observer_;
     std::vector<instance> instances_;
-    std::map<std::string, std::size_t, std::less<>> number_of_;  // by the instance's name
+    std::map<std::string, std::size_t, std::less<>> index_by_name_;  // key: instance name
     probe_callback probe_;
     clock::time_point now_;
-    std::vector<std::vector<std::size_t>> instances_of_zone_;  // into instances_
-    std::unordered_map<steering::routing_token, std::size_t> host_of_;
+    std::vector<std::vector<std::size_t>> instances_of_zone_;  // indices into instances_
+    std::unordered_map<steering::routing_token, std::size_t> target_index_by_token_;
 };
 
 }  // namespace bramleytrack::experiments
--- a/tests/steering_overload_test.cpp
+++ b/tests/steering_overload_test.cpp
@@ -9,22 +9,22 @@
 namespace bramleytrack {
 namespace {
 
-using experiments::overload_choice;
+using experiments::overload_features;
 
-std::map<std::string, double> figures(std::string_view name, const overload_choice& choice) {
+std::map<std::string, double> figures(std::string_view name, const overload_features& choice) {
     std::map<std::string, double> result;
     for (const auto& pattern : experiments::all_overload_patterns()) {
         if (pattern.name != name) {
             continue;
         }
-        for (const auto& each : experiments::play_overload(pattern, choice, 1)) {
+        for (const auto& each : experiments::simulate_overload(pattern, choice, 1)) {
             result[each.name] = each.value;
         }
     }
     return result;
 }
 
-constexpr overload_choice without_limit{.has_limit = false, .shares_loads = true};
+constexpr overload_features without_limit{.limits_open_requests = false, .shares_loads = true};
 
 TEST(steering_overload, at_five_times_the_capacity_most_of_what_can_be_served_is_in_time) {
     // All callers arrive at once, and the targets can serve a fifth of the demand. Without a limit
@@ -45,7 +45,7 @@
     // Nine times as many callers arrive at once, equally many in each zone. Guards against
     // instances that each take free capacity first come, first served: the zone with three
     // instances then gets most of it, and callers in the zone with one are refused.
-    constexpr overload_choice by_instance{.shares_demands = false};
+    constexpr overload_features by_instance{.shares_demands = false};
     const auto with = figures("steer_rush_uneven_zones", {});
     const auto without = figures("steer_rush_uneven_zones", by_instance);
     EXPECT_LT(with.at("in time") - with.at("least in time, zone"), 0.05);
@@ -58,7 +58,7 @@
     // Three times as many callers arrive, and the catalogue lists a route of higher priority that
     // has no demand. Guards against routes that are capped because of an unused one: every route in
     // use was capped alike, and the priorities had no effect.
-    constexpr overload_choice unranked{.ranks_routes = false};
+    constexpr overload_features unranked{.prioritizes_routes = false};
     const auto with = figures("steer_ranked", {});
     const auto without = figures("steer_ranked", unranked);
     EXPECT_GT(with.at("in time, urgent"), 1.5 * without.at("in time, urgent"));
@@ -97,7 +97,7 @@
     // The demand is three times the targets' capacity, and nine tenths of it come from one of nine
     // members. Guards against capacity that goes to the caller that asks most often: the other
     // eight, whose demand is three tenths of the capacity, were refused two times of three.
-    constexpr overload_choice without_caller_shares{.knows_callers = false};
+    constexpr overload_features without_caller_shares{.identifies_callers = false};
     const auto with = figures("steer_heavy_caller", {});
     const auto without = figures("steer_heavy_caller", without_caller_shares);
     EXPECT_LT(without.at("in time, light"), 0.35);
@@ -110,7 +110,8 @@
     // Four targets of fourteen fall silent while their entries are still listed, and callers open a
     // flow for each request. Without failure detection nearly three openings of ten would wait for
     // their copies, for as long as the entries are listed.
-    constexpr overload_choice without_detection{.checks_targets = false, .heeds_copies = false};
+    constexpr overload_features without_detection{.probes_targets = false,
+                                                  .handles_opening_copies = false};
     const auto with = figures("steer_dead_short_flows", {});
     const auto without = figures("steer_dead_short_flows", without_detection);
     EXPECT_GT(with.at("in time"), 0.975);
@@ -120,7 +121,7 @@
 TEST(steering_overload, callers_of_dead_targets_are_reset) {
     // The same with long flows: each caller of a dead target would have one request run into its
     // deadline.
-    constexpr overload_choice without_ends{.ends_dead_flows = false};
+    constexpr overload_features without_ends{.resets_dead_flows = false};
     const double with = figures("steer_dead", {}).at("failed");
     const double without = figures("steer_dead", without_ends).at("failed");
     EXPECT_GT(without, 0.006);
