--- a/services/bramleybench/main.cpp
+++ b/services/bramleybench/main.cpp
@@ -1,4 +1,5 @@
-// bramleybench: plays patterns of load against the decisions, with and without each of them.
+// bramleybench: simulates load patterns with the real load-balancing decisions, with all of them or
+// with chosen ones replaced by their baselines, and prints the resulting figures.
 #include <algorithm>
 #include <cstdio>
 #include <exception>
@@ -18,7 +19,7 @@
 
 constexpr int usage_exit_status = 2;
 
-struct options {
+struct benchmark_options {
     std::string scenario = "all";
     std::string without;
     int seeds = 5;
@@ -35,47 +36,47 @@
     return parts;
 }
 
-void print(const options& wanted, std::string_view name, std::string_view plays,
-           const std::vector<figure>& figures) {
-    std::string without = wanted.without.empty() ? "-" : wanted.without;
-    std::ranges::replace(without, ',', '+');  // one field of the CSV
-    if (!wanted.as_csv) {
-        std::printf("%s, %d seeds, without %s: %s\n", std::string{name}.c_str(), wanted.seeds,
-                    without.c_str(), std::string{plays}.c_str());
+void print_figures(const benchmark_options& options, std::string_view name,
+                   std::string_view description, const std::vector<figure>& figures) {
+    std::string without = options.without.empty() ? "-" : options.without;
+    std::ranges::replace(without, ',', '+');  // must stay a single CSV field
+    if (!options.as_csv) {
+        std::printf("%s, %d seeds, without %s: %s\n", std::string{name}.c_str(), options.seeds,
+                    without.c_str(), std::string{description}.c_str());
     }
     for (const auto& each : figures) {
-        if (wanted.as_csv) {
+        if (options.as_csv) {
             std::printf("%s,%s,%d,%s,%.4f\n", std::string{name}.c_str(), without.c_str(),
-                        wanted.seeds, each.name.c_str(), each.value);
+                        options.seeds, each.name.c_str(), each.value);
         } else {
             std::printf("  %-16s %10.4f\n", each.name.c_str(), each.value);
         }
     }
 }
 
-bool is_wanted(const options& wanted, std::string_view name) {
-    return wanted.scenario == "all" || wanted.scenario == name;
+bool is_selected(const benchmark_options& options, std::string_view name) {
+    return options.scenario == "all" || options.scenario == name;
 }
 
-void run_requests(const options& wanted) {
-    const auto table = strategies_without(split(wanted.without));
+void run_requests(const benchmark_options& options) {
+    const auto table = strategies_without(split(options.without));
     for (const auto& pattern : all_scenarios()) {
-        if (!is_wanted(wanted, pattern.name)) {
+        if (!is_selected(options, pattern.name)) {
             continue;
         }
         std::vector<request_result> results;
-        for (int seed = 1; seed <= wanted.seeds; ++seed) {
+        for (int seed = 1; seed <= options.seeds; ++seed) {
             results.push_back(simulate_requests(pattern, table, static_cast<std::uint64_t>(seed)));
         }
-        print(wanted, pattern.name, pattern.description, figures_of(merge(results)));
+        print_figures(options, pattern.name, pattern.description, figures_of(merge(results)));
     }
 }
 
-template <typename player>
-std::vector<figure> mean_of(int seeds, player play_one) {
+template <typename simulation>
+std::vector<figure> mean_of(int seeds, simulation simulate_one) {
     std::vector<figure> sums;
     for (int seed = 1; seed <= seeds; ++seed) {
-        const auto figures = play_one(static_cast<std::uint64_t>(seed));
+        const auto figures = simulate_one(static_cast<std::uint64_t>(seed));
         sums.resize(figures.size());
         for (std::size_t i = 0; i < figures.size(); ++i) {
             sums[i].name = figures[i].name;
@@ -85,88 +86,91 @@
     return sums;
 }
 
-// Decisions about flows have names of their own.
-placement_features choice_without(const options& wanted, const std::vector<std::string>& names) {
-    placement_features choice;
-    choice.threshold = wanted.threshold;
+// Placement decisions are no entries of load::strategies, so their names are handled here.
+placement_features placement_features_without(const benchmark_options& options,
+                                              const std::vector<std::string>& names) {
+    placement_features features;
+    features.threshold = options.threshold;
     for (const auto& name : names) {
-        choice.uses_first_candidate = choice.uses_first_candidate || name == "second_candidate";
-        choice.counts_own_placements = choice.counts_own_placements && name != "own_placements";
-        choice.threshold = name == "threshold" ? 0 : choice.threshold;
+        features.uses_first_candidate = features.uses_first_candidate || name == "second_candidate";
+        features.counts_own_placements = features.counts_own_placements && name != "own_placements";
+        features.threshold = name == "threshold" ? 0 : features.threshold;
     }
-    return choice;
+    return features;
 }
 
-void run_placements(const options& wanted) {
-    const auto choice = choice_without(wanted, split(wanted.without));
+void run_placements(const benchmark_options& options) {
+    const auto features = placement_features_without(options, split(options.without));
     for (const auto& pattern : all_placement_patterns()) {
-        if (!is_wanted(wanted, pattern.name)) {
+        if (!is_selected(options, pattern.name)) {
             continue;
         }
-        const auto figures = mean_of(wanted.seeds, [&](std::uint64_t seed) {
-            return simulate_placement(pattern, choice, seed);
+        const auto figures = mean_of(options.seeds, [&](std::uint64_t seed) {
+            return simulate_placement(pattern, features, seed);
         });
-        print(wanted, pattern.name, "flows opened and closed by several homes", figures);
+        print_figures(options, pattern.name, "flows opened and closed by several homes", figures);
     }
 }
 
-void run_cold_starts(const options& wanted) {
-    cold_start_features choice;
-    for (const auto& name : split(wanted.without)) {
-        choice.uses_own_observation = choice.uses_own_observation && name != "cold_observation";
-        choice.has_ramp = choice.has_ramp && name != "cold_start";
+void run_cold_starts(const benchmark_options& options) {
+    cold_start_features features;
+    for (const auto& name : split(options.without)) {
+        features.uses_own_observation = features.uses_own_observation && name != "cold_observation";
+        features.has_ramp = features.has_ramp && name != "cold_start";
     }
     for (const auto& pattern : all_cold_start_patterns()) {
-        if (!is_wanted(wanted, pattern.name)) {
+        if (!is_selected(options, pattern.name)) {
             continue;
         }
-        const auto figures = mean_of(wanted.seeds, [&](std::uint64_t seed) {
-            return simulate_cold_start(pattern, choice, seed);
+        const auto figures = mean_of(options.seeds, [&](std::uint64_t seed) {
+            return simulate_cold_start(pattern, features, seed);
         });
-        print(wanted, pattern.name, pattern.description, figures);
+        print_figures(options, pattern.name, pattern.description, figures);
     }
 }
 
-void run_overloads(const options& wanted) {
-    overload_features choice;
-    for (const auto& name : split(wanted.without)) {
-        choice.limits_open_requests = choice.limits_open_requests && name != "open_request_limit";
-        choice.shares_loads = choice.shares_loads && name != "shared_loads";
-        choice.shares_demands = choice.shares_demands && name != "shared_demands";
-        choice.identifies_callers = choice.identifies_callers && name != "caller_shares";
-        choice.probes_targets = choice.probes_targets && name != "target_checks";
-        choice.handles_opening_copies = choice.handles_opening_copies && name != "opening_copies";
-        choice.resets_dead_flows = choice.resets_dead_flows && name != "dead_flows";
+void run_overloads(const benchmark_options& options) {
+    overload_features features;
+    for (const auto& name : split(options.without)) {
+        features.limits_open_requests =
+            features.limits_open_requests && name != "open_request_limit";
+        features.shares_loads = features.shares_loads && name != "shared_loads";
+        features.shares_demands = features.shares_demands && name != "shared_demands";
+        features.identifies_callers = features.identifies_callers && name != "caller_shares";
+        features.probes_targets = features.probes_targets && name != "target_checks";
+        features.handles_opening_copies =
+            features.handles_opening_copies && name != "opening_copies";
+        features.resets_dead_flows = features.resets_dead_flows && name != "dead_flows";
     }
     for (const auto& pattern : all_overload_patterns()) {
-        if (!is_wanted(wanted, pattern.name)) {
+        if (!is_selected(options, pattern.name)) {
             continue;
         }
-        const auto figures = mean_of(wanted.seeds, [&](std::uint64_t seed) {
-            return simulate_overload(pattern, choice, seed);
+        const auto figures = mean_of(options.seeds, [&](std::uint64_t seed) {
+            return simulate_overload(pattern, features, seed);
         });
-        print(wanted, pattern.name, pattern.description, figures);
+        print_figures(options, pattern.name, pattern.description, figures);
     }
 }
 
 }  // namespace
 
 int main(int argc, const char** argv) {
-    options wanted;
+    benchmark_options options;
     bramleytrack::settings::command_line line{"[OPTION...]"};
-    line.option("scenario", wanted.scenario, "the pattern to play, or all")
-        .option("without", wanted.without, "decisions to replace by their baseline: a,b,...")
-        .option("seeds", wanted.seeds, "how many seeds to run, from 1 on")
-        .option("threshold", wanted.threshold, "of the second candidate, see load/placement.h")
-        .flag("csv", wanted.as_csv, "lines of scenario,without,seeds,figure,value");
+    line.option("scenario", options.scenario, "the load pattern to simulate, or all")
+        .option("without", options.without, "decisions to replace by their baselines: a,b,...")
+        .option("seeds", options.seeds, "number of seeds to run, from 1 on")
+        .option("threshold", options.threshold, "of the second candidate, see load/placement.h")
+        .flag("csv", options.as_csv, "print lines of scenario,without,seeds,figure,value");
     line.parse(argc, argv);
     try {
-        run_requests(wanted);
-        run_placements(wanted);
-        run_cold_starts(wanted);
-        run_overloads(wanted);
-    } catch (const std::exception& fault) {
-        std::fprintf(stderr, "%s\n", fault.what());
+        run_requests(options);
+        run_placements(options);
+        run_cold_starts(options);
+        run_overloads(options);
+    } catch (const std::exception& error) {
+        std::fprintf(stderr, "%s\n", error.what());
         return usage_exit_status;
     }
     return 0;
