--- a/benchmarks/measurements/capacity.cpp
+++ b/benchmarks/measurements/capacity.cpp
@@ -1,5 +1,6 @@
-// Measures the slopes of docs/CAPACITY.md: what one instance spends on peers, targets, flows and
-// texts, each at several sizes, in the core and the codec without sockets.
+// Measures the per-unit costs in docs/CAPACITY.md: CPU time, memory and traffic of one instance by
+// the number of peers, targets, flows and the size of configurations, each at several sizes. Covers
+// the core and the codec, without sockets.
 #include <unistd.h>
 
 #include <array>
@@ -20,7 +21,7 @@
 
 constexpr double bytes_per_kilobyte = 1024;
 
-// Processor time of this process, milliseconds.
+// CPU time of this process.
 double processor_ms() {
     timespec time{};
     clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &time);
@@ -87,34 +88,35 @@
     return message;
 }
 
-// One instance in a full mesh of N peers: heartbeats in and out for ten seconds.
+// Measures one instance in a full mesh of N peers that sends and receives heartbeats for ten
+// seconds.
 void measure_peers() {
     constexpr std::array sizes{9, 50, 102, 610};
     constexpr int seconds = 10;
     std::printf("peers: bytes a heartbeat, bytes sent a second, processor share, by N\n");
     for (const int peers : sizes) {
-        // Eight targets an instance, as at the planned size.
+        // Eight targets per instance, as in the planned deployment.
         const int targets = peers * 8;
         auto now = to_time_point(1'000'000'000);
         const auto text = testing::fleet_text({.zones = 6, .services = 10, .targets = targets});
         auto core = make_core(text, peers, now);
         const auto key = wire::derive_fleet_key("capacity");
         wire::encoder encoder;
-        const auto sample = encoder.encode(heartbeat_of(1, 8, *core, now), key).size();
+        const auto heartbeat_bytes = encoder.encode(heartbeat_of(1, 8, *core, now), key).size();
         std::int64_t sent = 0;
-        double spent = 0;
+        double cpu_ms = 0;
         const auto end = now + std::chrono::seconds{seconds};
         for (; now < end; now += tick_interval) {
-            // The encoded heartbeats of the peers; making them is not this instance's work.
-            std::vector<std::vector<std::uint8_t>> arriving;
+            // Heartbeats of the peers. Encoding them is not part of this instance's cost.
+            std::vector<std::vector<std::uint8_t>> received;
             if (to_milliseconds(now) % 500 == 0) {
                 for (int i = 0; i < peers; ++i) {
                     const auto bytes = encoder.encode(heartbeat_of(i, 8, *core, now), key);
-                    arriving.emplace_back(bytes.begin(), bytes.end());
+                    received.emplace_back(bytes.begin(), bytes.end());
                 }
             }
             const auto before = processor_ms();
-            for (const auto& each : arriving) {
+            for (const auto& each : received) {
                 const auto decoded = wire::decode_peer_message(each, key);
                 core->on_peer_message(std::get<wire::peer_message>(decoded), now);
             }
@@ -124,11 +126,12 @@
                     sent += static_cast<std::int64_t>(encoder.encode(message->content, key).size());
                 }
             }
-            spent += processor_ms() - before;
+            cpu_ms += processor_ms() - before;
         }
         std::printf(
             "  %4d peers: %5zu bytes received each, %9.0f bytes/s sent, %6.2f%% of a core\n", peers,
-            sample, static_cast<double>(sent) / seconds, spent / (seconds * 1000.0) * 100);
+            heartbeat_bytes, static_cast<double>(sent) / seconds,
+            cpu_ms / (seconds * 1000.0) * 100);
     }
 }
 
@@ -155,28 +158,29 @@
             core->on_caller_packet(std::move(open), now);
             core->take_actions();
         }
-        const auto grown = resident_kilobytes() - before;
-        const auto held = core->state().flows.size();
-        // All flows were opened in one moment here; what lasts for seconds after an opening is
-        // over.
-        constexpr int settling = 100;
-        for (int i = 0; i < settling; ++i, now += tick_interval) {
+        const auto added_kilobytes = resident_kilobytes() - before;
+        const auto open_flows = core->state().flows.size();
+        // All flows were opened at once here. Waits until the work that follows an opening for
+        // some seconds has finished.
+        constexpr int settling_ticks = 100;
+        for (int i = 0; i < settling_ticks; ++i, now += tick_interval) {
             core->on_tick(now);
             core->take_actions();
         }
-        constexpr int ticks = 600;  // a minute: each periodic scan runs once
-        const auto begin = processor_ms();
+        constexpr int ticks = 600;  // one minute, so that each periodic scan runs once
+        const auto started_at = processor_ms();
         for (int i = 0; i < ticks; ++i, now += tick_interval) {
             core->on_tick(now);
             core->take_actions();
         }
-        std::printf("  %6zu flows: %7.0f KB, %4.0f bytes each; a tick %6.3f ms\n", held, grown,
-                    grown * bytes_per_kilobyte / static_cast<double>(held),
-                    (processor_ms() - begin) / ticks);
+        std::printf("  %6zu flows: %7.0f KB, %4.0f bytes each; a tick %6.3f ms\n", open_flows,
+                    added_kilobytes,
+                    added_kilobytes * bytes_per_kilobyte / static_cast<double>(open_flows),
+                    (processor_ms() - started_at) / ticks);
     }
 }
 
-void measure_texts() {
+void measure_configurations() {
     std::printf("texts: size, time to check and to put in force, memory\n");
     struct size {
         int services;
@@ -187,12 +191,12 @@
         const auto text =
             testing::fleet_text({.zones = 6, .services = each.services, .targets = each.targets});
         const auto memory = resident_kilobytes();
-        const auto begin = processor_ms();
+        const auto started_at = processor_ms();
         const auto parsed = configuration::parse_configuration(text, 1);
-        const auto spent = processor_ms() - begin;
+        const auto cpu_ms = processor_ms() - started_at;
         std::printf(
             "  %4d services, %4d targets: %7zu bytes, %7.2f ms, %6.0f KB, %s\n", each.services,
-            each.targets, text.size(), spent, resident_kilobytes() - memory,
+            each.targets, text.size(), cpu_ms, resident_kilobytes() - memory,
             std::holds_alternative<configuration::configuration>(parsed) ? "valid" : "refused");
     }
 }
@@ -202,7 +206,7 @@
 
 int main(int argc, const char** argv) {
     bramleytrack::settings::command_line{""}.parse(argc, argv);
-    bramleytrack::measure_texts();
+    bramleytrack::measure_configurations();
     bramleytrack::measure_flows();
     bramleytrack::measure_peers();
     return 0;
