--- a/benchmarks/measurements/changes.cpp
+++ b/benchmarks/measurements/changes.cpp
@@ -1,5 +1,6 @@
-// Measures what each planned change and each failure costs: flows broken, forwards per packet, and
-// control bytes, against the baseline of plain hashing. Prints the table of docs/MEASUREMENTS.md.
+// Measures the cost of each planned change and each failure in broken flows, forwards per packet
+// and control bytes, compared with plain hashing as the baseline. Prints the table of
+// docs/MEASUREMENTS.md.
 #include <cstdio>
 #include <functional>
 #include <set>
@@ -17,13 +18,13 @@
 constexpr int targets_of_board = 14;
 constexpr int targets_of_plans = 4;
 
-// In a script: each flow sends one packet.
+// Script line that makes each flow send one packet.
 constexpr std::string_view traffic_line = "traffic";
 
 struct change {
     const char* name;
     std::vector<std::string> script;
-    int excused_zone = -1;  // its flows may break: operators took it out
+    int excused_zone = -1;  // flows of this zone may break, as operators took it out of service
 };
 
 std::string zone_name(int index) {
@@ -103,67 +104,68 @@
     int broken = 0;
     int excused = 0;
     double forwards_per_packet = 0;
-    double idle_bytes = 0;    // control bytes per instance and second before the change
-    double change_bytes = 0;  // during it
+    double idle_bytes = 0;    // control bytes per instance and second, before the change
+    double change_bytes = 0;  // the same, during the change
 };
 
-// Sends one data packet of each flow by instances in turn, and records the target that each
-// reached.
+// Sends one packet of each flow through the instances in turn, and records the targets that the
+// packets of each flow reach.
 class traffic {
 public:
     traffic(testing::session& session, int flows)
         : session_{session},
-          places_(static_cast<std::size_t>(flows)),
+          reached_targets_(static_cast<std::size_t>(flows)),
           arrivals_(static_cast<std::size_t>(flows)) {}
 
     void open() { send("open"); }
 
     void send(const std::string& kind) {
         const auto via = instance_names();
-        for (std::size_t i = 0; i < places_.size(); ++i) {
+        for (std::size_t i = 0; i < reached_targets_.size(); ++i) {
             const auto flow = std::to_string(i + 1);
             const std::string service = i % 5 == 0 ? "plans" : "board";
             session_.run(kind + " flow=" + flow + " service=" + service +
                          " via=" + via[(i + shift_) % via.size()]);
         }
         ++shift_;
-        note_arrivals();
+        record_arrivals();
     }
 
-    // Reads from the transcript which flows' packets reached which targets.
-    void note_arrivals() {
+    // Parses the transcript for the targets that each flow's packets reached.
+    void record_arrivals() {
         for (const auto& line : session_.take_transcript()) {
             const auto arrow = line.find("-> ");
             const auto colon = line.find(": ", arrow);
             const auto flow = line.find(" flow=", colon);
             const bool is_to_target =
                 line.find("-> board-") == arrow || line.find("-> plans-") == arrow;
-            const bool is_callers = line.find(": open ") == colon || line.find(": data ") == colon;
-            if (!is_to_target || !is_callers || flow == std::string::npos) {
+            const bool is_caller_packet =
+                line.find(": open ") == colon || line.find(": data ") == colon;
+            if (!is_to_target || !is_caller_packet || flow == std::string::npos) {
                 continue;
             }
             const auto index = static_cast<std::size_t>(std::stoi(line.substr(flow + 6))) - 1;
-            places_[index].insert(line.substr(arrow + 3, colon - arrow - 3));
+            reached_targets_[index].insert(line.substr(arrow + 3, colon - arrow - 3));
             ++arrivals_[index];
         }
     }
 
-    const std::vector<std::set<std::string>>& places() const { return places_; }
+    const std::vector<std::set<std::string>>& reached_targets() const { return reached_targets_; }
     const std::vector<int>& arrivals() const { return arrivals_; }
 
 private:
     testing::session& session_;
-    std::vector<std::set<std::string>> places_;
+    std::vector<std::set<std::string>> reached_targets_;
     std::vector<int> arrivals_;
     std::size_t shift_ = 0;
 };
 
-result measure(const change& wanted, routing_strategy strategy, int flows) {
+result measure(const change& planned_change, routing_strategy strategy, int flows) {
     testing::session session;
     session.set_strategy(strategy);
     set_up(session);
-    traffic load{session, flows};
-    load.open();
+    traffic generator{session, flows};
+    generator.open();
     result measured;
     constexpr int idle_seconds = 10;
     const double instances = zones * instances_per_zone;
@@ -173,9 +175,9 @@
         static_cast<double>(session.control_bytes() - before_idle) / idle_seconds / instances;
     const auto before_change = session.control_bytes();
     const auto change_begins = session.now();
-    for (const auto& line : wanted.script) {
+    for (const auto& line : planned_change.script) {
         if (line == traffic_line) {
-            load.send("data");
+            generator.send("data");
         } else {
             session.run(line);
         }
@@ -184,28 +186,29 @@
     measured.change_bytes =
         static_cast<double>(session.control_bytes() - before_change) / seconds / instances;
     session.take_transcript();
-    const auto arrivals_before = load.arrivals();
+    const auto arrivals_before = generator.arrivals();
     const auto forwards_before = session.forwards();
-    // A caller that gets nothing sends again, half a second later; two of four copies can meet the
-    // instances that are dead.
+    // A caller without a response retransmits half a second later. Two of the four copies may be
+    // sent to dead instances.
     constexpr int copies = 4;
     for (int i = 0; i < copies; ++i) {
-        load.send("data");
+        generator.send("data");
         session.run("advance 500");
-        load.note_arrivals();
+        generator.record_arrivals();
     }
     measured.forwards_per_packet = static_cast<double>(session.forwards() - forwards_before) /
                                    (static_cast<double>(copies) * flows);
-    for (std::size_t i = 0; i < load.places().size(); ++i) {
-        const auto& places = load.places()[i];
-        const bool is_whole = places.size() == 1 && load.arrivals()[i] > arrivals_before[i];
-        if (is_whole) {
+    for (std::size_t i = 0; i < generator.reached_targets().size(); ++i) {
+        const auto& reached_targets = generator.reached_targets()[i];
+        const bool is_intact =
+            reached_targets.size() == 1 && generator.arrivals()[i] > arrivals_before[i];
+        if (is_intact) {
             continue;
         }
         bool is_excused = false;
-        for (const auto& place : places) {
-            const auto number = std::stoi(place.substr(place.find('-') + 1));
-            is_excused = is_excused || number % zones == wanted.excused_zone;
+        for (const auto& target : reached_targets) {
+            const auto number = std::stoi(target.substr(target.find('-') + 1));
+            is_excused = is_excused || number % zones == planned_change.excused_zone;
         }
         ++(is_excused ? measured.excused : measured.broken);
     }
