--- a/tests/support/property_seed.cpp
+++ b/tests/support/property_seed.cpp
@@ -1,5 +1,5 @@
-// Property tests draw the same cases in every run, so that CI gives the same verdict each time.
-// RC_PARAMS="seed=N" plays others.
+// Sets a fixed seed for property tests, so that every CI run generates the same cases. Set
+// RC_PARAMS="seed=N" to generate others.
 #include <cstdlib>
 
 namespace bramleytrack::testing {
