--- a/standins/soak/link.cpp
+++ b/standins/soak/link.cpp
@@ -8,24 +8,25 @@
 namespace bramleytrack::standins {
 namespace {
 
-// Streams are served at this beat: it adds a few milliseconds to each call, as a network does.
+// Interval at which streams are forwarded. It adds a few milliseconds to each call, as a network
+// does.
 constexpr double tick_seconds = 0.003;
 
 sockaddr_in address_of(const std::string& text) {
     const auto parsed = net::parse_address(text);
     if (!parsed) {
-        throw std::runtime_error("not an address: " + text);
+        throw std::runtime_error("invalid link address, expected ip:port: " + text);
     }
     return *parsed;
 }
 
 }  // namespace
 
-datagram_link::datagram_link(ev::loop_ref loop, const std::string& near, std::string far,
-                             std::mt19937_64& random)
-    : far_{std::move(far)},
+datagram_link::datagram_link(ev::loop_ref loop, const std::string& listen_address,
+                             std::string upstream, std::mt19937_64& random)
+    : upstream_{std::move(upstream)},
       random_{random},
-      endpoint_{loop, near,
+      endpoint_{loop, listen_address,
                 [this](std::string_view sender, std::span<const std::uint8_t> datagram) {
                     on_datagram(sender, datagram);
                 }},
@@ -44,58 +45,58 @@
 
 void datagram_link::on_datagram(std::string_view sender, std::span<const std::uint8_t> datagram) {
     const auto from = sender.substr(0, sender.rfind(':'));
-    std::uniform_real_distribution<double> luck{0, 1};
-    if (state_.is_cut_forward || blocked_.contains(from) || luck(random_) < state_.loss) {
+    std::uniform_real_distribution<double> uniform{0, 1};
+    if (state_.is_cut_forward || blocked_.contains(from) || uniform(random_) < state_.loss) {
         return;
     }
     if (state_.delay == clock::duration{0}) {
-        endpoint_.send(far_, datagram);
+        endpoint_.send(upstream_, datagram);
         return;
     }
-    waiting_.push_back(
+    delayed_.push_back(
         {.due = clock::now() + state_.delay, .datagram = {datagram.begin(), datagram.end()}});
 }
 
 void datagram_link::on_tick(ev::timer& /*watcher*/, int /*events*/) {
     const auto now = clock::now();
-    while (!waiting_.empty() && waiting_.front().due <= now) {
-        endpoint_.send(far_, waiting_.front().datagram);
-        waiting_.pop_front();
+    while (!delayed_.empty() && delayed_.front().due <= now) {
+        endpoint_.send(upstream_, delayed_.front().datagram);
+        delayed_.pop_front();
     }
 }
 
-// Two sockets and what is on its way between them.
+// Two sockets and the bytes in flight between them.
 struct stream_link::connection {
-    struct piece {
+    struct chunk {
         clock::time_point due;
         std::string bytes;
     };
     struct direction {
-        std::deque<piece> waiting;
-        std::string ready;  // due, and not taken by the receiving socket yet
+        std::deque<chunk> in_flight;
+        std::string unsent;  // due, not yet accepted by the receiving socket
     };
 
-    net::descriptor near;
-    net::descriptor far;
+    net::descriptor client;
+    net::descriptor server;
     direction forward;
     direction back;
     bool is_silent = false;
     bool has_ended = false;
 
-    // Moves what has arrived and is due; false when an end is gone.
-    static bool carry(int from, int to, direction& way, bool is_cut, clock::duration delay,
-                      clock::time_point now) {
+    // Forwards the bytes whose delay has elapsed; false when either socket is closed.
+    static bool transfer(int from, int to, direction& stream, bool is_cut, clock::duration delay,
+                         clock::time_point now) {
         std::string bytes;
-        const bool is_open = net::read_available(from, bytes);
+        const bool is_sender_open = net::read_available(from, bytes);
         if (!bytes.empty() && !is_cut) {
-            way.waiting.push_back({.due = now + delay, .bytes = std::move(bytes)});
+            stream.in_flight.push_back({.due = now + delay, .bytes = std::move(bytes)});
         }
-        while (!way.waiting.empty() && way.waiting.front().due <= now) {
-            way.ready += way.waiting.front().bytes;
-            way.waiting.pop_front();
+        while (!stream.in_flight.empty() && stream.in_flight.front().due <= now) {
+            stream.unsent += stream.in_flight.front().bytes;
+            stream.in_flight.pop_front();
         }
-        const bool is_taken = net::write_available(to, way.ready);
-        return is_open && is_taken;
+        const bool is_receiver_open = net::write_available(to, stream.unsent);
+        return is_sender_open && is_receiver_open;
     }
 
     void serve(const link_state& state, clock::time_point now) {
@@ -103,26 +104,28 @@
             return;
         }
         const bool is_forward_open =
-            carry(near.get(), far.get(), forward, state.is_cut_forward, state.delay, now);
+            transfer(client.get(), server.get(), forward, state.is_cut_forward, state.delay, now);
         const bool is_back_open =
-            carry(far.get(), near.get(), back, state.is_cut_back, state.delay, now);
-        // An end that closes while the other direction is cut isn't noticed there, as in a network.
+            transfer(server.get(), client.get(), back, state.is_cut_back, state.delay, now);
+        // While a direction is cut, the close of one socket is not passed to the other: a
+        // partitioned network would not deliver it either.
         const bool is_cut = state.is_cut_forward || state.is_cut_back;
-        has_ended = !is_cut && !(is_forward_open && is_back_open) && back.waiting.empty();
+        has_ended = !is_cut && !(is_forward_open && is_back_open) && back.in_flight.empty();
     }
 
     void reset() {
-        const linger at_once{.l_onoff = 1, .l_linger = 0};
-        (void)setsockopt(near.get(), SOL_SOCKET, SO_LINGER, &at_once, sizeof(at_once));
-        (void)setsockopt(far.get(), SOL_SOCKET, SO_LINGER, &at_once, sizeof(at_once));
+        const linger immediate{.l_onoff = 1, .l_linger = 0};
+        (void)setsockopt(client.get(), SOL_SOCKET, SO_LINGER, &immediate, sizeof(immediate));
+        (void)setsockopt(server.get(), SOL_SOCKET, SO_LINGER, &immediate, sizeof(immediate));
         has_ended = true;
     }
 };
 
-stream_link::stream_link(ev::loop_ref loop, const std::string& near, const std::string& far)
+stream_link::stream_link(ev::loop_ref loop, const std::string& listen_address,
+                         const std::string& upstream)
     : loop_{loop},
-      far_{address_of(far)},
-      listening_{net::listen_on(address_of(near))},
+      upstream_{address_of(upstream)},
+      listening_{net::listen_on(address_of(listen_address))},
       acceptor_{loop},
       ticker_{loop} {
     acceptor_.set<stream_link, &stream_link::on_connect>(this);
@@ -152,14 +155,14 @@
         if (!accepted.is_open()) {
             return;
         }
-        auto made = std::make_unique<connection>();
-        made->near = std::move(accepted);
-        made->far = net::begin_connect(far_);
-        if (state_.is_refusing || !made->far.is_open()) {
-            made->reset();
+        auto created = std::make_unique<connection>();
+        created->client = std::move(accepted);
+        created->server = net::begin_connect(upstream_);
+        if (state_.is_refusing || !created->server.is_open()) {
+            created->reset();
             continue;
         }
-        connections_.push_back(std::move(made));
+        connections_.push_back(std::move(created));
     }
 }
 
--- a/standins/soak/link.h
+++ b/standins/soak/link.h
@@ -1,5 +1,5 @@
-// Links between processes on loopback that delay, lose, cut one way, reset or silence what they
-// carry, so that faults reach the real programs from outside.
+// Proxies between processes on loopback that inject network faults into the real programs from
+// outside: delay, loss, one-way cuts, resets and stalled connections.
 #pragma once
 
 #include <ev++.h>
@@ -18,27 +18,27 @@
 
 namespace bramleytrack::standins {
 
-// What a link does to its traffic now.
+// The faults that a link currently applies.
 struct link_state {
     clock::duration delay{0};
-    double loss = 0;              // share of the datagrams
-    bool is_cut_forward = false;  // nothing gets from the near to the far end
-    bool is_cut_back = false;     // streams only: nothing gets back
+    double loss = 0;              // fraction of datagrams dropped
+    bool is_cut_forward = false;  // drops everything towards the upstream
+    bool is_cut_back = false;     // streams only: drops everything from the upstream
     bool is_refusing = false;     // streams only: new connections are reset
 };
 
-// Passes datagrams on in one direction.
+// Forwards datagrams in one direction.
 class datagram_link {
 public:
-    datagram_link(ev::loop_ref loop, const std::string& near, std::string far,
+    datagram_link(ev::loop_ref loop, const std::string& listen_address, std::string upstream,
                   std::mt19937_64& random);
 
     void set(const link_state& state) { state_ = state; }
-    // Datagrams of this sender (an IP address) are lost, or get through again.
+    // Drops datagrams from this sender (an IP address), or forwards them again.
     void block(const std::string& sender, bool is_blocked);
 
 private:
-    struct delayed {
+    struct delayed_datagram {
         clock::time_point due;
         std::vector<std::uint8_t> datagram;
     };
@@ -46,24 +46,24 @@
     void on_datagram(std::string_view sender, std::span<const std::uint8_t> datagram);
     void on_tick(ev::timer& watcher, int events);
 
-    std::string far_;
+    std::string upstream_;
     std::mt19937_64& random_;
     link_state state_;
     std::set<std::string, std::less<>> blocked_;
-    std::deque<delayed> waiting_;
+    std::deque<delayed_datagram> delayed_;
     net::udp_endpoint endpoint_;
     ev::timer ticker_;
 };
 
-// Passes the bytes of connections on in both directions.
+// Forwards TCP connections in both directions.
 class stream_link {
 public:
-    stream_link(ev::loop_ref loop, const std::string& near, const std::string& far);
+    stream_link(ev::loop_ref loop, const std::string& listen_address, const std::string& upstream);
 
     void set(const link_state& state) { state_ = state; }
-    // Ends all connections with a reset.
+    // Closes all connections with a TCP reset.
     void reset_all();
-    // Existing connections never carry anything again; new ones work.
+    // Stalls the existing connections for good without closing them; new ones work.
     void silence_all();
 
 private:
@@ -74,7 +74,7 @@
     void collect_ended();
 
     ev::loop_ref loop_;
-    sockaddr_in far_;
+    sockaddr_in upstream_;
     link_state state_;
     net::descriptor listening_;
     std::list<std::unique_ptr<connection>> connections_;
--- a/standins/soak/process.cpp
+++ b/standins/soak/process.cpp
@@ -21,7 +21,7 @@
 process::process(process&& other) noexcept
     : command_{std::move(other.command_)},
       output_{std::move(other.output_)},
-      id_{std::exchange(other.id_, 0)},
+      pid_{std::exchange(other.pid_, 0)},
       status_{other.status_},
       starts_{other.starts_},
       started_at_{other.started_at_} {}
@@ -40,10 +40,10 @@
                                      O_WRONLY | O_CREAT | O_APPEND, mode);
     posix_spawn_file_actions_adddup2(&files, STDOUT_FILENO, STDERR_FILENO);
     const int error =
-        posix_spawn(&id_, arguments.front(), &files, nullptr, arguments.data(), environ);
+        posix_spawn(&pid_, arguments.front(), &files, nullptr, arguments.data(), environ);
     posix_spawn_file_actions_destroy(&files);
     if (error != 0) {
-        id_ = 0;
+        pid_ = 0;
         throw std::system_error(error, std::generic_category(), command_.front());
     }
     ++starts_;
@@ -51,36 +51,36 @@
 }
 
 void process::signal(int number) const {
-    if (id_ > 0) {
-        ::kill(id_, number);
+    if (pid_ > 0) {
+        ::kill(pid_, number);
     }
 }
 
 void process::kill() {
-    if (id_ <= 0) {
+    if (pid_ <= 0) {
         return;
     }
     signal(SIGCONT);
     signal(SIGKILL);
-    int raw = 0;
-    waitpid(id_, &raw, 0);
-    take_status(raw);
+    int wait_status = 0;
+    waitpid(pid_, &wait_status, 0);
+    record_exit(wait_status);
 }
 
 bool process::is_running() {
-    if (id_ <= 0) {
+    if (pid_ <= 0) {
         return false;
     }
-    int raw = 0;
-    if (waitpid(id_, &raw, WNOHANG) == id_) {
-        take_status(raw);
+    int wait_status = 0;
+    if (waitpid(pid_, &wait_status, WNOHANG) == pid_) {
+        record_exit(wait_status);
     }
-    return id_ > 0;
+    return pid_ > 0;
 }
 
-void process::take_status(int raw) {
-    id_ = 0;
-    status_ = WIFEXITED(raw) ? WEXITSTATUS(raw) : -WTERMSIG(raw);
+void process::record_exit(int wait_status) {
+    pid_ = 0;
+    status_ = WIFEXITED(wait_status) ? WEXITSTATUS(wait_status) : -WTERMSIG(wait_status);
 }
 
 }  // namespace bramleytrack::standins
--- a/standins/soak/process.h
+++ b/standins/soak/process.h
@@ -1,4 +1,4 @@
-// One program that the soak started, and the signals that it sends to it by its id.
+// A child process of the soak; signals are sent to its process id.
 #pragma once
 
 #include <sys/types.h>
@@ -12,7 +12,7 @@
 
 class process {
 public:
-    // `output` takes standard output and error; both are appended.
+    // Standard output and error are appended to the file `output`.
     process(std::vector<std::string> command, std::string output);
     ~process();
     process(process&& other) noexcept;
@@ -21,23 +21,23 @@
     process& operator=(const process&) = delete;
 
     void start();
-    // Does nothing when it isn't running.
+    // Does nothing when the process is not running.
     void signal(int number) const;
-    // Kills it and waits for its end.
+    // Sends SIGKILL and reaps the process.
     void kill();
-    // Whether it runs; notices an end.
+    // Reaps the process if it has exited.
     bool is_running();
-    // Exit status of the last end, or minus the signal that ended it.
+    // Exit status of the last run, or the negated number of the signal that ended it.
     int status() const { return status_; }
     int starts() const { return starts_; }
     clock::time_point started_at() const { return started_at_; }
 
 private:
-    void take_status(int raw);
+    void record_exit(int wait_status);
 
     std::vector<std::string> command_;
     std::string output_;
-    pid_t id_ = 0;
+    pid_t pid_ = 0;
     int status_ = 0;
     int starts_ = 0;
     clock::time_point started_at_;
