--- a/standins/soak/main.cpp
+++ b/standins/soak/main.cpp
@@ -1,5 +1,5 @@
-// standin_soak: plays one seed of the soak with the real programs. Exit status 0: every promise
-// held. The seed decides the faults and their order; times follow the machine.
+// standin_soak: runs one seed of the soak test with the real programs. Exit status 0: no violation.
+// The seed determines the faults and their order; their timing depends on the machine.
 #include <cstdio>
 #include <filesystem>
 
@@ -12,13 +12,13 @@
     options.programs = std::filesystem::path{argv[0]}.parent_path().string();
     int seed = 1;
     int rounds = 1;
-    int storm_seconds = 10;
+    int fault_phase_seconds = 10;
     settings::command_line{"[OPTIONS]"}
         .option("programs", options.programs, "folder of the built programs")
         .option("workspace", options.workspace, "folder for settings and logs")
-        .option("seed", seed, "of the faults and their order")
-        .option("rounds", rounds, "of a storm and a calm each")
-        .option("storm-seconds", storm_seconds, "length of each storm")
+        .option("seed", seed, "seed of the faults and their order")
+        .option("rounds", rounds, "number of rounds, each a fault phase and a steady phase")
+        .option("storm-seconds", fault_phase_seconds, "length of each fault phase in seconds")
         .option("instances", options.instances, "number of instances")
         .option("targets", options.targets, "number of targets")
         .parse(argc, argv);
@@ -28,23 +28,23 @@
         return 2;
     }
     std::filesystem::create_directories(options.workspace);
-    // The default loop would take the exit statuses of the processes that are started here.
+    // Not the default loop: it reaps child processes, so their exit statuses would be lost.
     ev::dynamic_loop loop;
     standins::soak run{loop, options};
     for (int i = 0; i < rounds; ++i) {
-        run.play_round(clock::duration{storm_seconds * 1'000});
+        run.run_round(clock::duration{fault_phase_seconds * 1'000});
     }
     const auto result = run.finish();
-    std::string played;
-    for (const auto& [name, count] : result.played) {
-        played += " " + name + "=" + std::to_string(count);
+    std::string fault_counts;
+    for (const auto& [name, count] : result.fault_counts) {
+        fault_counts += " " + name + "=" + std::to_string(count);
     }
     std::printf(
         "seed %d: asked %d, answered %d, lost %d, opened %d, refused %d, taken twice %d, "
         "violations %zu;%s\n",
         seed, result.tally.asked, result.tally.answered, result.tally.late_or_lost,
-        result.tally.opened, result.tally.refused, result.taken_twice, result.violations.size(),
-        played.c_str());
+        result.tally.opened, result.tally.refused, result.accepted_twice, result.violations.size(),
+        fault_counts.c_str());
     for (const auto& each : result.violations) {
         std::printf("  %s\n", each.c_str());
     }
--- a/standins/soak/soak.h
+++ b/standins/soak/soak.h
@@ -1,11 +1,11 @@
-// A randomized soak: rounds of a storm, in which faults and planned changes of a seed overlap, and
-// of a calm, in which everything is mended and must work again.
+// A randomized soak test. Each round has a fault phase, in which seeded faults and planned changes
+// overlap, and a steady phase, in which all faults are cleared and the fleet must recover.
 //
-// What is checked all the time holds whatever happens: nobody gets another's answer, nothing runs
-// twice, no instance goes back to older knowledge or ends by itself, a cold target gets no more
-// than it bears. Whether an open flow may be reset depends on who was disturbed, see on_reset().
-// The calm checks what needs a working fleet: changes in force in time, drains, zones out, graceful
-// stops, and that requests are served.
+// Checked in both phases: no caller receives another's answer, no request runs twice, no instance
+// reverts to an older version or revision or exits by itself, and no cold target gets more flows
+// than its limit. Whether an open flow may be reset depends on what was disturbed, see on_reset().
+// Checked in the steady phase only, since it needs a working fleet: changes take effect in time,
+// drains, zone evacuations, graceful stops, and that requests are served.
 #pragma once
 
 #include <ev++.h>
@@ -27,33 +27,33 @@
 struct soak_result {
     caller_tally tally;
     std::vector<std::string> violations;
-    std::map<std::string, int> played;  // faults and changes, by name
-    // Flows that two targets took, since the first one's answer came after the caller's copy, and
-    // that were lost when the caller's packets went to the other one.
-    int taken_twice = 0;
+    std::map<std::string, int> fault_counts;  // faults and changes, by name
+    // Flows that two targets accepted, because the caller retransmitted its opening before the
+    // first target's answer arrived, and that were reset when packets went to the other target.
+    int accepted_twice = 0;
 };
 
 class soak {
 public:
     soak(ev::loop_ref loop, soak_options options);
 
-    void play_round(clock::duration storm);
+    void run_round(clock::duration fault_phase);
     soak_result finish();
 
 private:
     struct action {
         clock::time_point at;
         std::int64_t order = 0;
-        std::function<void()> act;
+        std::function<void()> callback;
     };
     struct is_later {
         bool operator()(const action& left, const action& right) const {
             return left.at != right.at ? left.at > right.at : left.order > right.order;
         }
     };
-    // What an instance said of itself last, within one life of its process.
-    struct belief {
-        int life = 0;
+    // The state that an instance last reported in its metrics, and the process start it belongs to.
+    struct reported_state {
+        int incarnation = 0;
         double version = 0;
         double revision = 0;
         bool is_ready = false;
@@ -61,17 +61,17 @@
     using fault = void (soak::*)();
     struct fault_kind {
         const char* name;
-        fault begin;
+        fault inject;
     };
-    static const std::vector<fault_kind> kinds;
+    static const std::vector<fault_kind> fault_kinds;
 
     void start();
-    void pass(clock::duration time);
-    void after(clock::duration wait, std::function<void()> act);
+    void run_for(clock::duration time);
+    void schedule(clock::duration wait, std::function<void()> callback);
     void on_tick(ev::timer& watcher, int events);
-    void begin_fault();
+    void inject_fault();
 
-    // Faults. Each picks its subject, and mends itself after a while.
+    // Faults and planned changes. Each chooses its instance, target or zone and schedules its end.
     void kill_instance();
     void kill_many();
     void pause_instance();
@@ -98,28 +98,29 @@
     void storm_of_configurations();
     void zone_out_and_back();
 
-    void play_calm();
-    void check_calm_start();
-    void check_version(std::int64_t wanted);
-    void compare_openings(int zone, std::map<std::string, int> before);
-    void ask_openings(int zone, std::function<void(std::map<std::string, int>)> done);
-    void collect_reports();
+    void run_steady_phase();
+    void check_recovery();
+    void check_version(std::int64_t expected);
+    void check_no_new_openings(int zone, std::map<std::string, int> before);
+    void query_openings(int zone, std::function<void(std::map<std::string, int>)> done);
+    void check_target_reports();
 
-    void restart_later(soak_instance& subject, clock::duration wait);
-    void restart_later(soak_target& subject, clock::duration wait);
-    void watch_processes();
-    void ask_beliefs();
-    void take_belief(const std::string& name, int life, const std::string& metrics);
-    void on_reset(const flow_reset& what);
-    void on_reset_by_target(const flow_reset& what, const soak_target& target);
-    void complain(const std::string& what);
+    void restart_later(soak_instance& instance, clock::duration wait);
+    void restart_later(soak_target& target, clock::duration wait);
+    void check_processes();
+    void poll_instances();
+    void record_reported_state(const std::string& name, int incarnation,
+                               const std::string& metrics);
+    void on_reset(const flow_reset& reset);
+    void on_reset_by_target(const flow_reset& reset, const soak_target& target);
+    void report_violation(const std::string& description);
     static void disturb(clock::time_point& until, clock::duration length);
     void disturb_all(clock::duration length);
 
-    soak_instance& any_instance();
-    soak_target& any_target();
-    clock::duration between(int least_ms, int most_ms);
-    int pick(int number);
+    soak_instance& random_instance();
+    soak_target& random_target();
+    clock::duration random_duration(int min_ms, int max_ms);
+    int random_below(int count);
 
     ev::loop_ref loop_;
     soak_options options_;
@@ -130,13 +131,13 @@
     ev::timer alarm_;
     std::priority_queue<action, std::vector<action>, is_later> actions_;
     std::int64_t last_order_ = 0;
-    std::map<std::string, belief> beliefs_;
+    std::map<std::string, reported_state> reported_states_;
     std::map<std::string, int> pending_starts_;
     std::map<std::string, clock::time_point> stopping_since_;
-    std::map<std::string, int> runs_;  // of each request, over all targets that still live
-    clock::time_point next_question_;
-    clock::time_point began_;
-    bool is_storm_ = false;
+    std::map<std::string, int> runs_;  // of each request, over all running targets
+    clock::time_point next_poll_;
+    clock::time_point started_at_;
+    bool is_fault_phase_ = false;
     soak_result result_;
 };
 
--- a/standins/soak/soak_faults.cpp
+++ b/standins/soak/soak_faults.cpp
@@ -1,4 +1,5 @@
-// The faults and planned changes of a storm: each picks its subject and mends itself after a while.
+// The faults and planned changes of a fault phase. Each chooses its instance, target or zone at
+// random and schedules its own end.
 #include <csignal>
 #include <string>
 
@@ -6,7 +7,7 @@
 
 namespace bramleytrack::standins {
 
-const std::vector<soak::fault_kind> soak::kinds{
+const std::vector<soak::fault_kind> soak::fault_kinds{
     {"kill_instance", &soak::kill_instance},
     {"kill_many", &soak::kill_many},
     {"pause_instance", &soak::pause_instance},
@@ -35,123 +36,123 @@
 };
 
 void soak::kill_instance() {
-    auto& subject = any_instance();
-    const auto dark = between(50, 3'000);
-    disturb(subject.disturbed_until, dark);
-    subject.program->kill();
-    subject.is_stopping = false;
-    restart_later(subject, dark);
+    auto& instance = random_instance();
+    const auto downtime = random_duration(50, 3'000);
+    disturb(instance.disturbed_until, downtime);
+    instance.program->kill();
+    instance.is_stopping = false;
+    restart_later(instance, downtime);
 }
 
 void soak::kill_many() {
-    const auto dark = between(100, 1'500);
+    const auto downtime = random_duration(100, 1'500);
     for (auto& each : fleet_.instances()) {
-        if (pick(3) > 0) {
-            disturb(each.disturbed_until, dark);
+        if (random_below(3) > 0) {
+            disturb(each.disturbed_until, downtime);
             each.program->kill();
             each.is_stopping = false;
-            restart_later(each, dark);
+            restart_later(each, downtime);
         }
     }
 }
 
 void soak::pause_instance() {
-    auto& subject = any_instance();
-    const auto length = between(100, 5'000);
-    disturb(subject.disturbed_until, length);
-    subject.program->signal(SIGSTOP);
-    after(length, [&subject] { subject.program->signal(SIGCONT); });
+    auto& instance = random_instance();
+    const auto length = random_duration(100, 5'000);
+    disturb(instance.disturbed_until, length);
+    instance.program->signal(SIGSTOP);
+    schedule(length, [&instance] { instance.program->signal(SIGCONT); });
 }
 
 void soak::stop_instance() {
-    auto& subject = any_instance();
-    if (subject.is_stopping || !subject.program->is_running()) {
+    auto& instance = random_instance();
+    if (instance.is_stopping || !instance.program->is_running()) {
         return;
     }
-    subject.is_stopping = true;
-    stopping_since_[subject.name] = clock::now();
-    subject.program->signal(SIGTERM);
+    instance.is_stopping = true;
+    stopping_since_[instance.name] = clock::now();
+    instance.program->signal(SIGTERM);
 }
 
 void soak::reload_instance() {
-    any_instance().program->signal(SIGHUP);
+    random_instance().program->signal(SIGHUP);
 }
 
 void soak::lose_store_of_instance() {
-    auto& subject = any_instance();
-    const auto length = between(500, 6'000);
-    disturb(subject.disturbed_until, length);
+    auto& instance = random_instance();
+    const auto length = random_duration(500, 6'000);
+    disturb(instance.disturbed_until, length);
     link_state state;
-    state.is_refusing = pick(3) == 0;
-    state.is_cut_forward = pick(2) == 0;
-    state.is_cut_back = !state.is_cut_forward || pick(2) == 0;
-    subject.store->set(state);
-    after(length, [&subject] { subject.store->set({}); });
+    state.is_refusing = random_below(3) == 0;
+    state.is_cut_forward = random_below(2) == 0;
+    state.is_cut_back = !state.is_cut_forward || random_below(2) == 0;
+    instance.store->set(state);
+    schedule(length, [&instance] { instance.store->set({}); });
 }
 
 void soak::reset_streams_of_instance() {
-    auto& subject = any_instance();
-    disturb(subject.disturbed_until, clock::duration{0});
-    subject.store->reset_all();
-    subject.pulls->reset_all();
+    auto& instance = random_instance();
+    disturb(instance.disturbed_until, clock::duration{0});
+    instance.store->reset_all();
+    instance.pulls->reset_all();
 }
 
 void soak::silence_streams_of_instance() {
-    auto& subject = any_instance();
-    disturb(subject.disturbed_until, clock::duration{0});
-    subject.store->silence_all();
-    subject.pulls->silence_all();
+    auto& instance = random_instance();
+    disturb(instance.disturbed_until, clock::duration{0});
+    instance.store->silence_all();
+    instance.pulls->silence_all();
 }
 
 void soak::cut_instance_from_peers() {
-    auto& subject = any_instance();
-    const auto length = between(500, 6'000);
-    disturb(subject.disturbed_until, length);
-    const bool is_one_way = pick(2) == 0;
-    subject.digests->set({.is_cut_forward = true});
-    subject.pulls->set({.is_cut_forward = true, .is_cut_back = !is_one_way});
+    auto& instance = random_instance();
+    const auto length = random_duration(500, 6'000);
+    disturb(instance.disturbed_until, length);
+    const bool is_one_way = random_below(2) == 0;
+    instance.digests->set({.is_cut_forward = true});
+    instance.pulls->set({.is_cut_forward = true, .is_cut_back = !is_one_way});
     for (auto& each : fleet_.instances()) {
-        each.digests->block(subject.packet_source, !is_one_way);
+        each.digests->block(instance.packet_source, !is_one_way);
     }
-    after(length, [this, &subject] {
-        subject.digests->set({});
-        subject.pulls->set({});
+    schedule(length, [this, &instance] {
+        instance.digests->set({});
+        instance.pulls->set({});
         for (auto& each : fleet_.instances()) {
-            each.digests->block(subject.packet_source, false);
+            each.digests->block(instance.packet_source, false);
         }
     });
 }
 
 void soak::lose_packets_of_instance() {
-    auto& subject = any_instance();
-    const auto length = between(500, 4'000);
-    disturb(subject.disturbed_until, length);
-    const double loss = 0.02 * (1 + pick(10));
-    subject.packets->set({.loss = loss});
-    subject.digests->set({.loss = loss});
-    after(length, [&subject] {
-        subject.packets->set({});
-        subject.digests->set({});
+    auto& instance = random_instance();
+    const auto length = random_duration(500, 4'000);
+    disturb(instance.disturbed_until, length);
+    const double loss = 0.02 * (1 + random_below(10));
+    instance.packets->set({.loss = loss});
+    instance.digests->set({.loss = loss});
+    schedule(length, [&instance] {
+        instance.packets->set({});
+        instance.digests->set({});
     });
 }
 
 void soak::delay_packets_of_instance() {
-    auto& subject = any_instance();
-    const auto length = between(500, 4'000);
-    disturb(subject.disturbed_until, length);
-    const auto delay = between(5, 400);
-    subject.packets->set({.delay = delay});
-    subject.store->set({.delay = delay});
-    after(length, [&subject] {
-        subject.packets->set({});
-        subject.store->set({});
+    auto& instance = random_instance();
+    const auto length = random_duration(500, 4'000);
+    disturb(instance.disturbed_until, length);
+    const auto delay = random_duration(5, 400);
+    instance.packets->set({.delay = delay});
+    instance.store->set({.delay = delay});
+    schedule(length, [&instance] {
+        instance.packets->set({});
+        instance.store->set({});
     });
 }
 
 void soak::cut_zone() {
-    const int zone = pick(soak_fleet::zones);
-    const auto length = between(500, 6'000);
-    // Callers and targets on both sides lose each other.
+    const int zone = random_below(soak_fleet::zones);
+    const auto length = random_duration(500, 6'000);
+    // Callers and targets on both sides of the cut lose contact.
     disturb_all(length);
     const auto cut = [this, zone](bool is_cut) {
         for (int other = 0; other < soak_fleet::zones; ++other) {
@@ -161,64 +162,64 @@
         }
     };
     cut(true);
-    after(length, [cut] { cut(false); });
+    schedule(length, [cut] { cut(false); });
 }
 
 void soak::kill_target() {
-    auto& subject = any_target();
-    const auto dark = between(50, 4'000);
-    disturb(subject.disturbed_until, dark);
-    subject.program->kill();
-    // A crash says nothing to the store: the entry goes after three heartbeats of silence.
-    constexpr clock::duration silence{1'200};
-    after(silence, [this, &subject] {
-        if (!subject.program->is_running()) {
-            fleet_.remove_entry(subject.id);
+    auto& target = random_target();
+    const auto downtime = random_duration(50, 4'000);
+    disturb(target.disturbed_until, downtime);
+    target.program->kill();
+    // A crashed target does not deregister: its entry is removed after three missed heartbeats.
+    constexpr clock::duration entry_timeout{1'200};
+    schedule(entry_timeout, [this, &target] {
+        if (!target.program->is_running()) {
+            fleet_.remove_entry(target.id);
         }
     });
-    restart_later(subject, dark);
+    restart_later(target, downtime);
 }
 
 void soak::pause_target() {
-    auto& subject = any_target();
-    const auto length = between(100, 3'000);
-    disturb(subject.disturbed_until, length);
-    subject.program->signal(SIGSTOP);
-    after(length, [&subject] { subject.program->signal(SIGCONT); });
+    auto& target = random_target();
+    const auto length = random_duration(100, 3'000);
+    disturb(target.disturbed_until, length);
+    target.program->signal(SIGSTOP);
+    schedule(length, [&target] { target.program->signal(SIGCONT); });
 }
 
 void soak::cut_target() {
-    auto& subject = any_target();
-    const auto length = between(300, 4'000);
-    disturb(subject.disturbed_until, length);
-    subject.packets->set({.loss = pick(2) == 0 ? 1.0 : 0.3});
-    after(length, [&subject] { subject.packets->set({}); });
+    auto& target = random_target();
+    const auto length = random_duration(300, 4'000);
+    disturb(target.disturbed_until, length);
+    target.packets->set({.loss = random_below(2) == 0 ? 1.0 : 0.3});
+    schedule(length, [&target] { target.packets->set({}); });
 }
 
 void soak::take_entry_away() {
-    // Its next heartbeat brings it back; open flows must not notice.
-    fleet_.remove_entry(any_target().id);
+    // The next heartbeat restores the entry; open flows must not be affected.
+    fleet_.remove_entry(random_target().id);
 }
 
 void soak::store_down() {
-    const auto length = between(300, 5'000);
+    const auto length = random_duration(300, 5'000);
     fleet_.set_store_fault("down=1");
-    after(length, [this] { fleet_.set_store_fault("down=0"); });
+    schedule(length, [this] { fleet_.set_store_fault("down=0"); });
 }
 
 void soak::store_silent() {
-    const auto length = between(300, 5'000);
+    const auto length = random_duration(300, 5'000);
     fleet_.set_store_fault("silent=1");
-    after(length, [this] { fleet_.set_store_fault("silent=0"); });
+    schedule(length, [this] { fleet_.set_store_fault("silent=0"); });
 }
 
 void soak::store_slow() {
-    const auto length = between(1'000, 4'000);
-    const auto delay = between(50, 300);
+    const auto length = random_duration(1'000, 4'000);
+    const auto delay = random_duration(50, 300);
     for (auto& each : fleet_.instances()) {
         each.store->set({.delay = delay});
     }
-    after(length, [this] {
+    schedule(length, [this] {
         for (auto& each : fleet_.instances()) {
             each.store->set({});
         }
@@ -226,7 +227,7 @@
 }
 
 void soak::store_loses_answers() {
-    fleet_.set_store_fault("lost=" + std::to_string(1 + pick(6)));
+    fleet_.set_store_fault("lost=" + std::to_string(1 + random_below(6)));
 }
 
 void soak::store_forgets() {
@@ -238,19 +239,20 @@
 }
 
 void soak::change_configuration() {
-    fleet_.write_configuration(pick(12));
+    fleet_.write_configuration(random_below(12));
 }
 
 void soak::storm_of_configurations() {
     for (int i = 0; i < 6; ++i) {
-        after(clock::duration{i * 90}, [this] { fleet_.write_configuration(pick(200)); });
+        schedule(clock::duration{i * 90},
+                 [this] { fleet_.write_configuration(random_below(200)); });
     }
 }
 
 void soak::zone_out_and_back() {
-    const int zone = pick(soak_fleet::zones);
+    const int zone = random_below(soak_fleet::zones);
     fleet_.write_zone(zone, true);
-    after(between(500, 6'000), [this, zone] { fleet_.write_zone(zone, false); });
+    schedule(random_duration(500, 6'000), [this, zone] { fleet_.write_zone(zone, false); });
 }
 
 }  // namespace bramleytrack::standins
--- a/standins/soak/soak_fleet.cpp
+++ b/standins/soak/soak_fleet.cpp
@@ -12,7 +12,7 @@
 
 constexpr clock::duration http_limit{2'000};
 constexpr int port_count = 6;
-// Loopback networks: what a process binds, and beside it the link that leads there.
+// Loopback networks: the addresses that processes bind, and those of the links in front of them.
 constexpr const char* instance_network = "127.0.1.";
 constexpr const char* instance_link_network = "127.0.11.";
 constexpr const char* target_network = "127.0.2.";
@@ -33,7 +33,7 @@
     store_port
 };
 
-std::string host(const char* network, int number) {
+std::string loopback_ip(const char* network, int number) {
     return network + std::to_string(number);
 }
 
@@ -50,8 +50,8 @@
     caller_address_ = caller_ip + ports_[packet_port];
     route_board_ = std::string{route_ip} + ":443";
     route_plans_ = std::string{route_ip} + ":80";
-    seeds_ = {host(instance_link_network, 1) + ports_[pull_port],
-              host(instance_link_network, 2) + ports_[pull_port]};
+    seeds_ = {loopback_ip(instance_link_network, 1) + ports_[pull_port],
+              loopback_ip(instance_link_network, 2) + ports_[pull_port]};
 }
 
 std::string soak_fleet::zone_name(int zone) {
@@ -79,34 +79,34 @@
 }
 
 void soak_fleet::add_instance(int index) {
-    const auto own = host(instance_network, index);
-    const auto link = host(instance_link_network, index);
-    auto& made = instances_.emplace_back();
-    made.zone = index % zones;
-    made.name = zone_name(made.zone) + "-" + std::to_string(index);
-    made.packet_source = own;
-    made.metrics_address = own + ports_[metrics_port];
-    made.packet_address = link + ports_[packet_port];
-    made.readiness_address = link + ports_[readiness_port];
-    made.packets = std::make_unique<datagram_link>(loop_, made.packet_address,
-                                                   own + ports_[packet_port], random_);
-    made.readiness =
-        std::make_unique<stream_link>(loop_, made.readiness_address, own + ports_[readiness_port]);
-    made.digests = std::make_unique<datagram_link>(loop_, link + ports_[peer_port],
-                                                   own + ports_[peer_port], random_);
-    made.pulls =
-        std::make_unique<stream_link>(loop_, link + ports_[pull_port], own + ports_[pull_port]);
-    made.store = std::make_unique<stream_link>(
-        loop_, host(store_link_network, index) + ports_[store_port], store_address_);
-    made.program = std::make_unique<process>(
+    const auto ip = loopback_ip(instance_network, index);
+    const auto link_ip = loopback_ip(instance_link_network, index);
+    auto& instance = instances_.emplace_back();
+    instance.zone = index % zones;
+    instance.name = zone_name(instance.zone) + "-" + std::to_string(index);
+    instance.packet_source = ip;
+    instance.metrics_address = ip + ports_[metrics_port];
+    instance.packet_address = link_ip + ports_[packet_port];
+    instance.readiness_address = link_ip + ports_[readiness_port];
+    instance.packets = std::make_unique<datagram_link>(loop_, instance.packet_address,
+                                                       ip + ports_[packet_port], random_);
+    instance.readiness = std::make_unique<stream_link>(loop_, instance.readiness_address,
+                                                       ip + ports_[readiness_port]);
+    instance.digests = std::make_unique<datagram_link>(loop_, link_ip + ports_[peer_port],
+                                                       ip + ports_[peer_port], random_);
+    instance.pulls =
+        std::make_unique<stream_link>(loop_, link_ip + ports_[pull_port], ip + ports_[pull_port]);
+    instance.store = std::make_unique<stream_link>(
+        loop_, loopback_ip(store_link_network, index) + ports_[store_port], store_address_);
+    instance.program = std::make_unique<process>(
         std::vector<std::string>{options_.programs + "/bramleyd", "--steer", "--settings",
-                                 write_settings(made, own)},
-        options_.workspace + "/" + made.name + ".log");
+                                 write_settings(instance, ip)},
+        options_.workspace + "/" + instance.name + ".log");
 }
 
 std::string soak_fleet::write_settings(const soak_instance& instance, const std::string& ip) {
     const auto number = ip.substr(ip.rfind('.') + 1);
-    const auto link = instance_link_network + number;
+    const auto link_ip = instance_link_network + number;
     json regions;
     for (int zone = 0; zone < zones; ++zone) {
         regions[zone_name(zone)] = "region";
@@ -121,8 +121,8 @@
         {"metrics_address", ip + ports_[metrics_port]},
         {"peer_address", ip + ports_[peer_port]},
         {"pull_address", ip + ports_[pull_port]},
-        {"advertised_peer_address", link + ports_[peer_port]},
-        {"advertised_pull_address", link + ports_[pull_port]},
+        {"advertised_peer_address", link_ip + ports_[peer_port]},
+        {"advertised_pull_address", link_ip + ports_[pull_port]},
         {"seeds", seeds_},
         {"store_address", store_link_network + number + ports_[store_port]},
         {"fleet_passphrase", "stand-in fleet"},
@@ -133,21 +133,21 @@
 }
 
 void soak_fleet::add_target(int index) {
-    auto& made = targets_.emplace_back();
-    made.id = "i-a" + std::to_string(index);
-    made.service = index % 4 == 0 ? "plans" : "board";
-    made.zone = index % zones;
-    made.address = host(target_network, index) + ports_[packet_port];
-    const auto link = host(target_link_network, index) + ports_[packet_port];
-    made.packets = std::make_unique<datagram_link>(loop_, link, made.address, random_);
+    auto& target = targets_.emplace_back();
+    target.id = "i-a" + std::to_string(index);
+    target.service = index % 4 == 0 ? "plans" : "board";
+    target.zone = index % zones;
+    target.address = loopback_ip(target_network, index) + ports_[packet_port];
+    const auto link_address = loopback_ip(target_link_network, index) + ports_[packet_port];
+    target.packets = std::make_unique<datagram_link>(loop_, link_address, target.address, random_);
     const auto caller_port = ports_[packet_port].substr(1);
-    made.program = std::make_unique<process>(
-        std::vector<std::string>{options_.programs + "/standin_flow_target", "--id", made.id,
-                                 "--service", made.service, "--zone", zone_name(made.zone),
-                                 "--address", made.address, "--advertise", link, "--store",
-                                 store_address_, "--caller-port", caller_port, "--cold-ms",
-                                 std::to_string(cold_ms)},
-        options_.workspace + "/" + made.id + ".log");
+    target.program = std::make_unique<process>(
+        std::vector<std::string>{options_.programs + "/standin_flow_target", "--id", target.id,
+                                 "--service", target.service, "--zone", zone_name(target.zone),
+                                 "--address", target.address, "--advertise", link_address,
+                                 "--store", store_address_, "--caller-port", caller_port,
+                                 "--cold-ms", std::to_string(cold_ms)},
+        options_.workspace + "/" + target.id + ".log");
 }
 
 void soak_fleet::call(const std::string& method, const std::string& address,
@@ -158,7 +158,8 @@
                 .body = body,
                 .timeout = http_limit},
                [](const net::http_result& /*answer*/) {
-                   // A store that is away answers nothing, and the write has taken effect.
+                   // The result is ignored: during an injected outage the store does not answer,
+                   // but the write has taken effect.
                });
 }
 
@@ -189,24 +190,24 @@
                      {{{"name", "board"}, {"cold_per_s", cold_flows_per_second}},
                       {{"name", "plans"}, {"cold_per_s", cold_flows_per_second}}}},
                     {"limits", json::object()}};
-    texts_.push_back(text.dump());
-    write_next_text();
+    pending_configurations_.push_back(text.dump());
+    write_next_configuration();
 }
 
-void soak_fleet::write_next_text() {
-    if (is_writing_ || texts_.empty()) {
+void soak_fleet::write_next_configuration() {
+    if (is_writing_ || pending_configurations_.empty()) {
         return;
     }
     is_writing_ = true;
     http_.call({.method = "PUT",
                 .address = *net::parse_address(store_address_),
                 .path = "/put?key=op/config",
-                .body = texts_.front(),
+                .body = pending_configurations_.front(),
                 .timeout = http_limit},
                [this](const net::http_result& /*answer*/) {
-                   texts_.pop_front();
+                   pending_configurations_.pop_front();
                    is_writing_ = false;
-                   write_next_text();
+                   write_next_configuration();
                });
 }
 
@@ -247,7 +248,7 @@
     }
 }
 
-void soak_fleet::mend_links() {
+void soak_fleet::restore_links() {
     for (int left = 0; left < zones; ++left) {
         for (int right = 0; right < left; ++right) {
             cut_zones(left, right, false);
--- a/standins/soak/soak_fleet.h
+++ b/standins/soak/soak_fleet.h
@@ -1,5 +1,5 @@
 // The processes of a soak and the links between them: a store, instances that route by token, and
-// targets, each on a loopback address of its own, since the platform's ports are the same on all
+// targets. Each has its own loopback address, since the platform uses the same ports on all
 // machines.
 #pragma once
 
@@ -26,13 +26,13 @@
     std::uint64_t seed = 1;
 };
 
-// One instance with all links that lead to it, and its own way to the store.
+// An instance, the links through which others reach it, and its link to the store.
 struct soak_instance {
     std::string name;
     int zone = 0;
-    std::string packet_source;    // IP address of what it sends to targets and peers
-    std::string metrics_address;  // reached directly
-    std::string packet_address;   // by its link, as the routers reach it
+    std::string packet_source;    // source IP address of its packets to targets and peers
+    std::string metrics_address;  // not behind a link
+    std::string packet_address;   // of its link, used by the routers
     std::string readiness_address;
     std::unique_ptr<datagram_link> packets;
     std::unique_ptr<stream_link> readiness;
@@ -41,14 +41,14 @@
     std::unique_ptr<stream_link> store;
     std::unique_ptr<process> program;
     clock::time_point disturbed_until;
-    bool is_stopping = false;  // was told to end
+    bool is_stopping = false;  // SIGTERM was sent
 };
 
 struct soak_target {
     std::string id;
     std::string service;
     int zone = 0;
-    std::string address;  // its own: packets, and HTTP for what it counts
+    std::string address;  // not behind a link: packets, and HTTP for its counters
     std::unique_ptr<datagram_link> packets;
     std::unique_ptr<process> program;
     clock::time_point disturbed_until;
@@ -69,20 +69,19 @@
     const std::string& caller_address() const { return caller_address_; }
     std::vector<std::string> route_addresses() const { return {route_board_, route_plans_}; }
 
-    // What an operator writes; the newest version counts up by itself.
+    // Writes as an operator does; each configuration gets the next version number.
     void write_configuration(int extra_routes);
     void write_zone(int zone, bool is_out);
     void set_store_fault(const std::string& query);
     void remove_entry(const std::string& target);
-    // Tells a target to drain.
     void drain(const soak_target& target);
     std::int64_t version() const { return version_; }
     int extra_routes() const { return extra_routes_; }
 
-    // Packets and digests between two zones are lost, or arrive again.
+    // Drops packets and digests between two zones, or forwards them again.
     void cut_zones(int left, int right, bool is_cut);
-    // All links carry everything again.
-    void mend_links();
+    // Removes all faults from all links.
+    void restore_links();
 
     net::http_client& http() { return http_; }
 
@@ -91,7 +90,7 @@
     void add_target(int index);
     void call(const std::string& method, const std::string& address, const std::string& path,
               const std::string& body);
-    void write_next_text();
+    void write_next_configuration();
     std::string write_settings(const soak_instance& instance, const std::string& ip);
 
     ev::loop_ref loop_;
@@ -107,8 +106,8 @@
     std::unique_ptr<process> store_;
     std::vector<soak_instance> instances_;
     std::vector<soak_target> targets_;
-    // Texts that are still to be written, one after the other: versions must rise in the store.
-    std::deque<std::string> texts_;
+    // Written one at a time, in order: versions in the store must increase.
+    std::deque<std::string> pending_configurations_;
     bool is_writing_ = false;
     std::int64_t version_ = 0;
     int extra_routes_ = 0;
