--- a/standins/flow_caller/main.cpp
+++ b/standins/flow_caller/main.cpp
@@ -1,5 +1,5 @@
-// standin_flow_caller: drives callers of the users' platform for some seconds, prints what they
-// got, and judges the promises that the run exercised. Exit status 0: all held.
+// standin_flow_caller: runs callers of the users' platform for some seconds, prints their results,
+// and checks the guarantees that the run exercised. Exit status 0: all held.
 #include <algorithm>
 #include <cstdio>
 #include <nlohmann/json.hpp>
@@ -15,15 +15,15 @@
 using nlohmann::json;
 
 constexpr clock::duration http_limit{1'000};
-// What callers may lose in a run with a crash of an instance and one of a target.
-constexpr double least_answered = 0.97;
+// Allows for the requests lost in a run with one crash of an instance and one of a target.
+constexpr double min_answered_ratio = 0.97;
 
 struct target_report {
     std::map<std::string, int> runs;
     int opened_while_draining = 0;
 };
 
-std::set<std::string> words_of(const std::string& text) {
+std::set<std::string> split_at_commas(const std::string& text) {
     std::istringstream stream{text};
     std::set<std::string> result;
     for (std::string each; std::getline(stream, each, ',');) {
@@ -32,7 +32,7 @@
     return result;
 }
 
-target_report ask_target(ev::loop_ref loop, const std::string& address) {
+target_report fetch_target_report(ev::loop_ref loop, const std::string& address) {
     net::http_client client{loop};
     target_report result;
     client.get("http://" + address + "/runs", http_limit, [&](const net::http_result& answer) {
@@ -47,12 +47,13 @@
     return result;
 }
 
-bool judge(const char* promise, int broken) {
-    std::printf("%-66s %s (%d)\n", promise, broken == 0 ? "held" : "BROKEN", broken);
-    return broken == 0;
+bool print_verdict(const char* guarantee, int violations) {
+    std::printf("%-66s %s (%d)\n", guarantee, violations == 0 ? "held" : "BROKEN", violations);
+    return violations == 0;
 }
 
-int count_but(const std::map<std::string, int>& by_target, const std::set<std::string>& ended) {
+int count_excluding(const std::map<std::string, int>& by_target,
+                    const std::set<std::string>& ended) {
     int sum = 0;
     for (const auto& [target, count] : by_target) {
         sum += ended.contains(target) ? 0 : count;
@@ -60,8 +61,8 @@
     return sum;
 }
 
-bool judge_all(const caller_tally& seen, const std::vector<target_report>& reports,
-               const std::set<std::string>& ended) {
+bool print_verdicts(const caller_tally& tally, const std::vector<target_report>& reports,
+                    const std::set<std::string>& ended) {
     std::map<std::string, int> runs;
     int opened_while_draining = 0;
     for (const auto& each : reports) {
@@ -72,9 +73,9 @@
     }
     const auto run_twice =
         std::ranges::count_if(runs, [](const auto& each) { return each.second > 1; });
-    auto latencies = seen.latencies_ms;
+    auto latencies = tally.latencies_ms;
     std::ranges::sort(latencies);
-    const auto at = [&](double share) {
+    const auto percentile = [&](double share) {
         return latencies.empty() ? 0LL
                                  : static_cast<long long>(latencies[static_cast<std::size_t>(
                                        share * static_cast<double>(latencies.size() - 1))]);
@@ -83,21 +84,25 @@
         "asked %d, answered %d, lost %d, flows opened %d, refused %d, not opened %d, reset before "
         "any "
         "answer %d, p50 %lld ms, p99 %lld ms\n",
-        seen.asked, seen.answered, seen.late_or_lost, seen.opened, seen.refused, seen.not_opened,
-        seen.reset_before_any_answer, at(0.5), at(0.99));
-    const bool is_served = seen.asked > 0 && seen.answered >= least_answered * seen.asked;
-    bool has_held = judge("open flows of live targets that the balancer reset",
-                          count_but(seen.reset_by_balancer, ended));
-    has_held &=
-        judge("open flows that another target reset", count_but(seen.reset_by_target, ended));
-    has_held &= judge("answers to another request or of another service", seen.wrong_answers);
-    has_held &= judge("requests that ran twice", static_cast<int>(run_twice));
-    has_held &= judge("flows opened at a target 3 s after it drained", opened_while_draining);
-    has_held &= judge("requests answered below the share that must be", is_served ? 0 : 1);
-    return has_held;
+        tally.requests_sent, tally.answered, tally.unanswered, tally.opened, tally.refused,
+        tally.not_opened, tally.reset_before_any_answer, percentile(0.5), percentile(0.99));
+    const bool are_requests_answered =
+        tally.requests_sent > 0 && tally.answered >= min_answered_ratio * tally.requests_sent;
+    bool all_held = print_verdict("open flows of live targets that the balancer reset",
+                                  count_excluding(tally.reset_by_balancer, ended));
+    all_held &= print_verdict("open flows that another target reset",
+                              count_excluding(tally.reset_by_target, ended));
+    all_held &=
+        print_verdict("answers to another request or of another service", tally.wrong_answers);
+    all_held &= print_verdict("requests that ran twice", static_cast<int>(run_twice));
+    all_held &=
+        print_verdict("flows opened at a target 3 s after it drained", opened_while_draining);
+    all_held &= print_verdict("requests answered below the share that must be",
+                              are_requests_answered ? 0 : 1);
+    return all_held;
 }
 
-void wake_up(ev::timer& timer, int /*events*/) {
+void stop_loop(ev::timer& timer, int /*events*/) {
     ev_break(timer.loop, EVBREAK_ONE);
 }
 
@@ -125,7 +130,7 @@
     ev::default_loop loop;
     flow_caller callers{loop, options, instances};
     ev::timer end{loop};
-    end.set<&wake_up>();
+    end.set<&stop_loop>();
     end.start(seconds);
     loop.run();
     callers.stop();
@@ -135,9 +140,9 @@
     std::vector<target_report> reports;
     reports.reserve(target_addresses.size());
     for (const auto& each : target_addresses) {
-        reports.push_back(ask_target(loop, each));
+        reports.push_back(fetch_target_report(loop, each));
     }
-    return judge_all(callers.results(), reports, ended) ? 0 : 1;
+    return print_verdicts(callers.results(), reports, ended) ? 0 : 1;
 }
 
 }  // namespace
@@ -149,11 +154,11 @@
     int seconds = 20;
     int flows = 60;
     bramleytrack::settings::command_line{"[OPTIONS]"}
-        .option("fleet", fleet, "the fleet's description, JSON")
-        .option("seconds", seconds, "how long callers call")
-        .option("flows", flows, "flows that are open at a time")
-        .option("ended", ended, "ids of targets that the run ends, separated by commas")
+        .option("fleet", fleet, "path of the JSON file that describes the fleet")
+        .option("seconds", seconds, "duration of the load in seconds")
+        .option("flows", flows, "number of flows that are open at the same time")
+        .option("ended", ended, "ids of targets that the run terminates, separated by commas")
         .parse(argc, argv);
     return bramleytrack::standins::run(fleet, seconds, flows,
-                                       bramleytrack::standins::words_of(ended));
+                                       bramleytrack::standins::split_at_commas(ended));
 }
--- a/standins/flow_caller/router.cpp
+++ b/standins/flow_caller/router.cpp
@@ -4,8 +4,8 @@
 namespace {
 
 constexpr double probe_seconds = 0.5;
-constexpr clock::duration probe_limit{400};
-constexpr int misses_out = 2;
+constexpr clock::duration probe_timeout{400};
+constexpr int unready_after_failures = 2;
 constexpr int http_ok = 200;
 
 }  // namespace
@@ -18,9 +18,9 @@
 
 void router::on_tick(ev::timer& /*watcher*/, int /*events*/) {
     for (auto& each : instances_) {
-        http_.get("http://" + each.readiness_address + "/-/readiness", probe_limit,
+        http_.get("http://" + each.readiness_address + "/-/readiness", probe_timeout,
                   [&each](const net::http_result& answer) {
-                      each.misses = answer.status == http_ok ? 0 : each.misses + 1;
+                      each.failed_probes = answer.status == http_ok ? 0 : each.failed_probes + 1;
                   });
     }
 }
@@ -28,7 +28,7 @@
 std::string router::choose(std::uint64_t flow_hash) const {
     std::vector<const instance*> in_rotation;
     for (const auto& each : instances_) {
-        if (each.misses < misses_out) {
+        if (each.failed_probes < unready_after_failures) {
             in_rotation.push_back(&each);
         }
     }
--- a/standins/flow_caller/router.h
+++ b/standins/flow_caller/router.h
@@ -1,5 +1,5 @@
-// The routers of the users' platform: ask each instance twice a second whether it is ready, and
-// hand each packet of a flow to one of those in rotation, by a hash of both ends.
+// Stand-in for the routers of the users' platform: probes the readiness of each instance twice a
+// second, and chooses among the instances in rotation by a hash of both addresses of the flow.
 #pragma once
 
 #include <ev++.h>
@@ -16,12 +16,12 @@
     struct instance {
         std::string packet_address;
         std::string readiness_address;
-        int misses = 2;  // in a row; out of rotation from two on
+        int failed_probes = 2;  // consecutive; two or more take it out of rotation
     };
 
     router(ev::loop_ref loop, std::vector<instance> instances);
 
-    // Empty when there are no instances at all.
+    // Returns the packet address of an instance; empty if there are no instances.
     std::string choose(std::uint64_t flow_hash) const;
 
 private:
--- a/standins/flow_packet/flow_packet.h
+++ b/standins/flow_packet/flow_packet.h
@@ -1,7 +1,6 @@
-// The packets of flows as the users' platform carries them, for the stand-ins of targets and
-// callers.
+// Codec of the users' platform's flow packets, for the stand-ins of targets and callers.
 //
-// Written apart from the adapter on purpose: the one checks the other.
+// Deliberately independent of the adapter's codec, so that each implementation checks the other.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +19,7 @@
     std::uint16_t destination_port = 0;
     std::uint32_t destination = 0;
     std::uint32_t echo = 0;
-    std::uint32_t sum = 0;
+    std::uint32_t checksum = 0;
     std::uint32_t sequence = 0;
     std::uint32_t acknowledged = 0;
     std::uint8_t flags = 0;
@@ -29,13 +28,15 @@
     bool has(packet_flag flag) const { return (flags & flag) != 0; }
 };
 
-// A sum over what nobody between the ends may change; 0 stands for a reset of the system's own.
-std::uint32_t sum_of(const flow_packet& packet);
+// Checksum of the fields that must not change between caller and target. 0 in a packet marks a
+// reset that the balancer itself sent.
+std::uint32_t checksum_of(const flow_packet& packet);
 
 std::vector<std::uint8_t> encode(flow_packet packet);
-// Nothing when the datagram is no packet, or the sum is wrong and it isn't a reset with sum 0.
+// std::nullopt if the datagram is not a packet, or its checksum is wrong and it is not a reset with
+// checksum 0.
 std::optional<flow_packet> decode(std::span<const std::uint8_t> datagram);
 
-std::string text_of(std::uint32_t address, std::uint16_t port);
+std::string format_address(std::uint32_t address, std::uint16_t port);
 
 }  // namespace bramleytrack::standins
--- a/standins/soak/main.cpp
+++ b/standins/soak/main.cpp
@@ -42,7 +42,7 @@
     std::printf(
         "seed %d: asked %d, answered %d, lost %d, opened %d, refused %d, taken twice %d, "
         "violations %zu;%s\n",
-        seed, result.tally.asked, result.tally.answered, result.tally.late_or_lost,
+        seed, result.tally.requests_sent, result.tally.answered, result.tally.unanswered,
         result.tally.opened, result.tally.refused, result.accepted_twice, result.violations.size(),
         fault_counts.c_str());
     for (const auto& each : result.violations) {
--- a/standins/soak/soak.cpp
+++ b/standins/soak/soak.cpp
@@ -240,8 +240,8 @@
     run_for(clock::duration{3'200});
 
     const auto& now = callers_->results();
-    const int requests = now.asked - before.asked;
-    const int lost = now.late_or_lost - before.late_or_lost + now.not_opened - before.not_opened;
+    const int requests = now.requests_sent - before.requests_sent;
+    const int lost = now.unanswered - before.unanswered + now.not_opened - before.not_opened;
     std::fprintf(stderr, "%8lld calm: asked %d, lost %d, refused %d\n",
                  static_cast<long long>((clock::now() - started_at_).count()), requests, lost,
                  now.refused - before.refused);
