--- a/standins/platform/instance_directory.cpp
+++ b/standins/platform/instance_directory.cpp
@@ -13,7 +13,7 @@
         respond({.status = 200, .body = "{}", .content_type = "application/json"});
         return;
     }
-    show_due(now);
+    apply_due_changes(now);
     auto list = nlohmann::json::array();
     for (const auto& [name, entry] : visible_) {
         list.push_back(nlohmann::json::parse(entry, nullptr, false));
@@ -21,7 +21,7 @@
     respond({.status = 200, .body = list.dump(), .content_type = "application/json"});
 }
 
-void instance_directory::show_due(clock::time_point now) {
+void instance_directory::apply_due_changes(clock::time_point now) {
     std::erase_if(pending_, [this, now](const change& each) {
         if (now < each.visible_at) {
             return false;
--- a/standins/platform/instance_directory.h
+++ b/standins/platform/instance_directory.h
@@ -1,4 +1,5 @@
-// Stand-in for the platform's list of live and leaving instances, which shows changes late.
+// Stand-in for the platform's list of live and leaving instances. Changes become visible only
+// after a lag.
 #pragma once
 
 #include <map>
@@ -15,7 +16,7 @@
     explicit instance_directory(clock::duration lag) : lag_{lag} {}
 
     // PUT /v1/instances?name=N with the entry as body sets it; an empty body removes it.
-    // GET /v1/instances gives the list as it was `lag` ago.
+    // GET /v1/instances returns the list as it was `lag` ago. A PUT with now=1 is visible at once.
     void handle(const net::http_request& request, const net::http_responder& respond);
 
 private:
@@ -25,10 +26,10 @@
         std::string entry;
     };
 
-    void show_due(clock::time_point now);
+    void apply_due_changes(clock::time_point now);
 
     clock::duration lag_;
-    std::vector<change> pending_;  // in the order of their visibility
+    std::vector<change> pending_;  // in order of arrival
     std::map<std::string, std::string> visible_;
 };
 
--- a/standins/platform/main.cpp
+++ b/standins/platform/main.cpp
@@ -1,4 +1,4 @@
-// standin_platform: the platform's store and instance list in one small process.
+// standin_platform: serves the platform's store and instance list over HTTP.
 #include "instance_directory.h"
 #include "revisioned_store.h"
 #include "settings/command_line.h"
@@ -9,7 +9,7 @@
     int lag_ms = 1000;
     settings::command_line{"[OPTIONS]"}
         .option("address", address, "ip:port of the HTTP service")
-        .option("list-lag-ms", lag_ms, "how late the instance list shows changes")
+        .option("list-lag-ms", lag_ms, "delay in ms until the instance list shows changes")
         .parse(argc, argv);
     ev::default_loop loop;
     standins::revisioned_store store{loop};
--- a/standins/platform/revisioned_store.cpp
+++ b/standins/platform/revisioned_store.cpp
@@ -19,7 +19,7 @@
 constexpr int http_unavailable = 503;
 
 constexpr std::string_view renew_path = "/-/kv-keep/";
-constexpr std::string_view end_path = "/-/kv-lease-end/";
+constexpr std::string_view revoke_path = "/-/kv-lease-end/";
 
 net::http_response answer(const json& body, int status = 200) {
     return {.status = status, .body = body.dump(), .content_type = "application/json"};
@@ -49,7 +49,7 @@
     if (request.path == "/put" || request.path == "/remove") {
         const auto key = request.query_or("key", "");
         if (request.path == "/put") {
-            // Heartbeats that change nothing leave the revision alone.
+            // A heartbeat that changes nothing does not advance the revision.
             const auto found = entries_.find(key);
             if (found == entries_.end() || found->second.value != request.body) {
                 write(key, request.body, 0, ++revision_);
@@ -88,12 +88,12 @@
         result = grant(request);
     } else if (request.path.starts_with(renew_path)) {
         result = renew(std::stoll(request.path.substr(renew_path.size())));
-    } else if (request.path.starts_with(end_path)) {
-        result = end(std::stoll(request.path.substr(end_path.size())));
+    } else if (request.path.starts_with(revoke_path)) {
+        result = revoke(std::stoll(request.path.substr(revoke_path.size())));
     }
     answer_watches();
-    if (lost_answers_ > 0) {
-        --lost_answers_;
+    if (answers_to_drop_ > 0) {
+        --answers_to_drop_;
         return;
     }
     respond(result);
@@ -138,24 +138,24 @@
 net::http_response revisioned_store::transact(const net::http_request& request) {
     const auto body = json::parse(request.body);
     json current = json::array();
-    bool has_failed = false;
+    bool is_conflict = false;
     for (const auto& each : body.value("if_revision", json::array())) {
         const auto found = entries_.find(each["key"].get<std::string>());
         const auto revision = found == entries_.end() ? 0 : found->second.revision;
-        has_failed = has_failed || revision != each["revision"].get<std::int64_t>();
+        is_conflict = is_conflict || revision != each["revision"].get<std::int64_t>();
         if (found != entries_.end()) {
             current.push_back(item(found->first, found->second));
         }
     }
-    if (has_failed) {
+    if (is_conflict) {
         return answer({{"items", current}}, http_precondition_failed);
     }
     for (const auto& each : body.value("writes", json::array())) {
-        const auto number = each.value("lease", std::int64_t{0});
+        const auto lease_id = each.value("lease", std::int64_t{0});
         if (is_protected(each["key"].get<std::string>())) {
             return answer(json::object(), http_forbidden);
         }
-        if (number != 0 && !leases_.contains(number)) {
+        if (lease_id != 0 && !leases_.contains(lease_id)) {
             return answer(json::object(), http_not_found);
         }
     }
@@ -172,31 +172,31 @@
 
 net::http_response revisioned_store::grant(const net::http_request& request) {
     const clock::duration lifetime{json::parse(request.body).at("ttl_ms").get<std::int64_t>()};
-    const auto number = ++last_lease_;
-    leases_[number] = {.lifetime = lifetime, .end = clock::now() + lifetime};
-    return answer({{"lease", number}, {"ttl_ms", lifetime.count()}});
+    const auto lease_id = ++last_lease_id_;
+    leases_[lease_id] = {.lifetime = lifetime, .expires_at = clock::now() + lifetime};
+    return answer({{"lease", lease_id}, {"ttl_ms", lifetime.count()}});
 }
 
-net::http_response revisioned_store::renew(std::int64_t number) {
-    const auto found = leases_.find(number);
+net::http_response revisioned_store::renew(std::int64_t lease_id) {
+    const auto found = leases_.find(lease_id);
     if (found == leases_.end()) {
         return answer(json::object(), http_not_found);
     }
-    found->second.end = clock::now() + found->second.lifetime;
+    found->second.expires_at = clock::now() + found->second.lifetime;
     return answer({{"ttl_ms", found->second.lifetime.count()}});
 }
 
-net::http_response revisioned_store::end(std::int64_t number) {
-    end_lease(number);
+net::http_response revisioned_store::revoke(std::int64_t lease_id) {
+    end_lease(lease_id);
     return answer(json::object());
 }
 
 net::http_response revisioned_store::set_fault(const net::http_request& request) {
     is_down_ = request.query_or("down", is_down_ ? "1" : "0") == "1";
     is_silent_ = request.query_or("silent", is_silent_ ? "1" : "0") == "1";
-    lost_answers_ = std::stoi(request.query_or("lost", std::to_string(lost_answers_)));
+    answers_to_drop_ = std::stoi(request.query_or("lost", std::to_string(answers_to_drop_)));
     if (request.query_or("forget", "0") == "1") {
-        forgotten_ = revision_;
+        compacted_revision_ = revision_;
         history_.clear();
     }
     if (request.query_or("lapse", "0") == "1") {
@@ -215,38 +215,38 @@
 }
 
 void revisioned_store::write(const std::string& key, const std::string& value,
-                             std::int64_t lease_number, std::int64_t revision) {
-    auto& subject = entries_[key];
-    subject.value = value;
-    subject.created = subject.created == 0 ? revision : subject.created;
-    subject.revision = revision;
-    subject.lease = lease_number;
-    remember(
-        {.revision = revision, .key = key, .is_removal = false, .content = item(key, subject)});
+                             std::int64_t lease_id, std::int64_t revision) {
+    auto& written = entries_[key];
+    written.value = value;
+    written.created = written.created == 0 ? revision : written.created;
+    written.revision = revision;
+    written.lease = lease_id;
+    record_change(
+        {.revision = revision, .key = key, .is_removal = false, .content = item(key, written)});
 }
 
 void revisioned_store::remove(const std::string& key, std::int64_t revision) {
     if (entries_.erase(key) > 0) {
-        remember({.revision = revision,
-                  .key = key,
-                  .is_removal = true,
-                  .content = {{"key", key}, {"revision", revision}, {"removed", true}}});
+        record_change({.revision = revision,
+                       .key = key,
+                       .is_removal = true,
+                       .content = {{"key", key}, {"revision", revision}, {"removed", true}}});
     }
 }
 
-void revisioned_store::remember(change happened) {
-    history_.push_back(std::move(happened));
+void revisioned_store::record_change(change recorded) {
+    history_.push_back(std::move(recorded));
     if (history_.size() > max_history) {
-        forgotten_ = history_.front().revision;
+        compacted_revision_ = history_.front().revision;
         history_.pop_front();
     }
 }
 
-void revisioned_store::end_lease(std::int64_t number) {
-    leases_.erase(number);
+void revisioned_store::end_lease(std::int64_t lease_id) {
+    leases_.erase(lease_id);
     std::vector<std::string> keys;
     for (const auto& [key, each] : entries_) {
-        if (each.lease == number) {
+        if (each.lease == lease_id) {
             keys.push_back(key);
         }
     }
@@ -255,15 +255,15 @@
     }
 }
 
-json revisioned_store::item(const std::string& key, const entry& subject) const {
+json revisioned_store::item(const std::string& key, const entry& stored) const {
     return {{"key", key},
-            {"value", modp::b64_encode(subject.value)},
-            {"revision", subject.revision},
-            {"created", subject.created},
-            {"lease", subject.lease}};
+            {"value", modp::b64_encode(stored.value)},
+            {"revision", stored.revision},
+            {"created", stored.created},
+            {"lease", stored.lease}};
 }
 
-json revisioned_store::news(const std::string& prefix, std::int64_t after) const {
+json revisioned_store::changes_since(const std::string& prefix, std::int64_t after) const {
     json events = json::array();
     for (const auto& each : history_) {
         if (each.revision > after && each.key.starts_with(prefix)) {
@@ -279,13 +279,14 @@
     }
     const auto now = clock::now();
     for (auto each = watches_.begin(); each != watches_.end();) {
-        const bool is_cut = is_down_ || each->after < forgotten_;
-        const auto events = is_cut ? json::array() : news(each->prefix, each->after);
-        if (!is_cut && events.empty() && now < each->deadline) {
+        const bool is_terminated = is_down_ || each->after < compacted_revision_;
+        const auto events =
+            is_terminated ? json::array() : changes_since(each->prefix, each->after);
+        if (!is_terminated && events.empty() && now < each->deadline) {
             ++each;
             continue;
         }
-        if (is_cut) {
+        if (is_terminated) {
             each->respond(answer(json::object(), is_down_ ? http_unavailable : http_gone));
         } else {
             each->respond(answer({{"events", events}, {"store_revision", revision_}}));
@@ -296,15 +297,15 @@
 
 void revisioned_store::on_tick(ev::timer& /*watcher*/, int /*events*/) {
     const auto now = clock::now();
-    std::vector<std::int64_t> ended;
-    for (const auto& [number, each] : leases_) {
-        if (now >= each.end) {
-            ended.push_back(number);
+    std::vector<std::int64_t> expired;
+    for (const auto& [lease_id, each] : leases_) {
+        if (now >= each.expires_at) {
+            expired.push_back(lease_id);
         }
     }
-    // While the store is away, leases pause.
+    // Leases do not expire during a store outage.
     if (!is_down_ && !is_silent_) {
-        std::ranges::for_each(ended, [this](std::int64_t number) { end_lease(number); });
+        std::ranges::for_each(expired, [this](std::int64_t lease_id) { end_lease(lease_id); });
     }
     answer_watches();
 }
