--- a/standins/platform/main.cpp
+++ b/standins/platform/main.cpp
@@ -9,7 +9,7 @@
     int lag_ms = 1000;
     settings::command_line{"[OPTIONS]"}
         .option("address", address, "ip:port of the HTTP service")
-        .option("list-lag-ms", lag_ms, "delay in ms until the instance list shows changes")
+        .option("list-lag-ms", lag_ms, "how late the instance list shows changes, in ms")
         .parse(argc, argv);
     ev::default_loop loop;
     standins::revisioned_store store{loop};
