--- a/standins/caller/caller.cpp
+++ b/standins/caller/caller.cpp
@@ -8,12 +8,12 @@
 using wire::packet_kind;
 
 constexpr double tick_seconds = 0.01;
-constexpr clock::duration copy_interval{250};
+constexpr clock::duration retransmit_interval{250};
 constexpr clock::duration keep_alive_interval{1'000};
-// An open flow on which nothing was heard for so long is broken for the person who uses it.
-constexpr clock::duration silence_limit{6'000};
-// The zone of a broken flow is known by then.
-constexpr clock::duration judging_delay{2'000};
+// An open flow on which nothing was received for this long counts as broken.
+constexpr clock::duration max_silence{6'000};
+// By then the observer has read whether the flow's zone was taken out.
+constexpr clock::duration classification_delay{2'000};
 
 }  // namespace
 
@@ -31,7 +31,7 @@
     for (const auto& service : services_) {
         for (const auto& member : options_.members) {
             for (int i = 0; i < options_.flows_per_member; ++i) {
-                flow created;
+                flow_entry created;
                 created.service = &service;
                 created.member = member;
                 created.state = flow_state::paused;
@@ -44,123 +44,123 @@
     ticker_.start(tick_seconds, tick_seconds);
 }
 
-tally& caller::tally_of(const flow& subject) {
-    return tallies_[{subject.service->name, subject.member}];
+tally& caller::tally_of(const flow_entry& flow) {
+    return tallies_[{flow.service->name, flow.member}];
 }
 
-void caller::send(const flow& subject, wire::packet packet) {
-    packet.service_address = subject.service->address;
-    packet.flow = subject.number;
-    packet.member = subject.member;
+void caller::send(const flow_entry& flow, wire::packet packet) {
+    packet.service_address = flow.service->address;
+    packet.flow = flow.number;
+    packet.member = flow.member;
     endpoint_.send(options_.fabric_address, encoder_.encode(packet));
 }
 
-void caller::open(flow& subject, clock::time_point now) {
+void caller::open(flow_entry& flow, clock::time_point now) {
     wire::packet packet;
     packet.kind = packet_kind::open;
-    send(subject, std::move(packet));
-    subject.next_send = now + copy_interval;
+    send(flow, std::move(packet));
+    flow.next_packet_at = now + retransmit_interval;
 }
 
-void caller::reopen(flow& subject, clock::time_point now, clock::duration pause) {
-    index_of_flow_.erase(subject.number);
-    subject.state = flow_state::paused;
-    subject.resume_at = now + pause;
+void caller::reopen(flow_entry& flow, clock::time_point now, clock::duration pause) {
+    index_of_flow_.erase(flow.number);
+    flow.state = flow_state::paused;
+    flow.resume_at = now + pause;
 }
 
-void caller::lose(flow& subject, clock::time_point now) {
-    losses_.push_back({subject.service->name, subject.member, subject.target, now});
-    reopen(subject, now, clock::duration{0});
+void caller::record_break(flow_entry& flow, clock::time_point now) {
+    broken_flows_.push_back({flow.service->name, flow.member, flow.target, now});
+    reopen(flow, now, clock::duration{0});
 }
 
-void caller::ask(flow& subject, clock::time_point now) {
-    question created;
+void caller::send_request(flow_entry& flow, clock::time_point now) {
+    pending_request created;
     auto& packet = created.request;
     packet.kind = packet_kind::request;
-    packet.service_address = subject.service->address;
-    packet.flow = subject.number;
-    packet.member = subject.member;
-    packet.request = subject.next_request++;
+    packet.service_address = flow.service->address;
+    packet.flow = flow.number;
+    packet.member = flow.member;
+    packet.request = flow.next_request++;
     packet.may_repeat =
         packet.request % 2 == 0 ? wire::repetition::repeatable : wire::repetition::at_most_once;
     packet.deadline = to_milliseconds(now) + options_.deadline_ms;
-    packet.payload = subject.service->name + "/" + subject.member + "/" +
-                     std::to_string(subject.number) + "/" + std::to_string(packet.request);
-    created.service = subject.service->name;
-    created.asked = now;
-    created.next_copy = now + copy_interval;
-    ++tally_of(subject).asked;
-    send(subject, packet);
-    questions_[{subject.number, packet.request}] = std::move(created);
-    subject.next_ask = now + clock::duration{options_.request_interval_ms};
+    packet.payload = flow.service->name + "/" + flow.member + "/" + std::to_string(flow.number) +
+                     "/" + std::to_string(packet.request);
+    created.service = flow.service->name;
+    created.sent_at = now;
+    created.retransmit_at = now + retransmit_interval;
+    ++tally_of(flow).requests_sent;
+    send(flow, packet);
+    pending_requests_[{flow.number, packet.request}] = std::move(created);
+    flow.next_request_at = now + clock::duration{options_.request_interval_ms};
 }
 
 void caller::on_tick(ev::timer& /*watcher*/, int /*events*/) {
     const auto now = clock::now();
     std::uniform_int_distribution<int> jitter{0, options_.request_interval_ms};
     for (std::size_t i = 0; i < flows_.size(); ++i) {
-        auto& subject = flows_[i];
-        if (subject.state == flow_state::paused) {
-            if (now < subject.resume_at || !is_asking_) {
+        auto& flow = flows_[i];
+        if (flow.state == flow_state::paused) {
+            if (now < flow.resume_at || !is_sending_) {
                 continue;
             }
-            subject.number = next_flow_number_++;
-            index_of_flow_[subject.number] = i;
-            subject.state = flow_state::opening;
-            subject.last_push = 0;
-            subject.next_request = 1;
-            subject.next_ask = now + clock::duration{jitter(random_)};
-            open(subject, now);
+            flow.number = next_flow_number_++;
+            index_of_flow_[flow.number] = i;
+            flow.state = flow_state::opening;
+            flow.last_push = 0;
+            flow.next_request = 1;
+            flow.next_request_at = now + clock::duration{jitter(random_)};
+            open(flow, now);
             continue;
         }
-        if (subject.state == flow_state::opening) {
-            if (now >= subject.next_send) {
-                open(subject, now);
+        if (flow.state == flow_state::opening) {
+            if (now >= flow.next_packet_at) {
+                open(flow, now);
             }
             continue;
         }
-        if (now - subject.last_heard >= silence_limit) {
-            lose(subject, now);
+        if (now - flow.last_received >= max_silence) {
+            record_break(flow, now);
             continue;
         }
-        if (now >= subject.next_send) {
+        if (now >= flow.next_packet_at) {
             wire::packet packet;
             packet.kind = packet_kind::data;
-            send(subject, std::move(packet));
-            subject.next_send = now + keep_alive_interval;
+            send(flow, std::move(packet));
+            flow.next_packet_at = now + keep_alive_interval;
         }
-        if (is_asking_ && now >= subject.next_ask) {
-            ask(subject, now);
+        if (is_sending_ && now >= flow.next_request_at) {
+            send_request(flow, now);
         }
     }
-    repeat_questions(now);
-    judge_losses(now);
+    retransmit_requests(now);
+    classify_broken_flows(now);
 }
 
-void caller::judge_losses(clock::time_point now) {
-    std::erase_if(losses_, [this, now](const loss& each) {
-        if (now - each.lost < judging_delay) {
+void caller::classify_broken_flows(clock::time_point now) {
+    std::erase_if(broken_flows_, [this, now](const broken_flow& each) {
+        if (now - each.broken_at < classification_delay) {
             return false;
         }
         auto& counts = tallies_[{each.service, each.member}];
-        const bool is_excused = is_excused_ && is_excused_(each.target, each.lost);
-        ++(is_excused ? counts.flows_broken_by_zone : counts.flows_broken);
+        const bool is_exempt = is_exempt_ && is_exempt_(each.target, each.broken_at);
+        ++(is_exempt ? counts.flows_broken_by_zone : counts.flows_broken);
         return true;
     });
 }
 
-void caller::repeat_questions(clock::time_point now) {
-    constexpr clock::duration patience{2'000};
-    for (auto each = questions_.begin(); each != questions_.end();) {
-        auto& waiting = each->second;
-        if (now >= to_time_point(waiting.request.deadline) + patience) {
-            ++tallies_[{waiting.service, waiting.request.member}].no_outcome;
-            each = questions_.erase(each);
+void caller::retransmit_requests(clock::time_point now) {
+    constexpr clock::duration outcome_grace{2'000};
+    for (auto each = pending_requests_.begin(); each != pending_requests_.end();) {
+        auto& pending = each->second;
+        if (now >= to_time_point(pending.request.deadline) + outcome_grace) {
+            ++tallies_[{pending.service, pending.request.member}].no_outcome;
+            each = pending_requests_.erase(each);
             continue;
         }
-        if (now >= waiting.next_copy) {
-            endpoint_.send(options_.fabric_address, encoder_.encode(waiting.request));
-            waiting.next_copy = now + copy_interval;
+        if (now >= pending.retransmit_at) {
+            endpoint_.send(options_.fabric_address, encoder_.encode(pending.request));
+            pending.retransmit_at = now + retransmit_interval;
         }
         ++each;
     }
@@ -183,31 +183,31 @@
     if (found == index_of_flow_.end()) {
         return;
     }
-    auto& subject = flows_[found->second];
-    subject.last_heard = now;
+    auto& flow = flows_[found->second];
+    flow.last_received = now;
     switch (packet->kind) {
         case packet_kind::open_accepted:
-            if (subject.state == flow_state::opening) {
-                subject.state = flow_state::open;
-                subject.target = packet->payload;
-                ++tally_of(subject).flows_opened;
+            if (flow.state == flow_state::opening) {
+                flow.state = flow_state::open;
+                flow.target = packet->payload;
+                ++tally_of(flow).flows_opened;
             }
             return;
         case packet_kind::refused:
-            if (subject.state == flow_state::opening) {
-                ++tally_of(subject).opens_refused;
-                reopen(subject, now, clock::duration{packet->come_back_ms});
+            if (flow.state == flow_state::opening) {
+                ++tally_of(flow).opens_refused;
+                reopen(flow, now, clock::duration{packet->come_back_ms});
             }
             return;
         case packet_kind::reset:
-            lose(subject, now);
+            record_break(flow, now);
             return;
         case packet_kind::push: {
-            subject.last_push = std::max(subject.last_push, packet->sequence);
+            flow.last_push = std::max(flow.last_push, packet->sequence);
             wire::packet reply;
             reply.kind = packet_kind::acknowledge;
-            reply.sequence = subject.last_push;
-            send(subject, std::move(reply));
+            reply.sequence = flow.last_push;
+            send(flow, std::move(reply));
             return;
         }
         default:
@@ -216,27 +216,27 @@
 }
 
 void caller::on_outcome(const wire::packet& packet, clock::time_point now) {
-    const auto found = questions_.find({packet.flow, packet.request});
-    if (found == questions_.end()) {
-        return;  // a copy of an outcome that is known
+    const auto found = pending_requests_.find({packet.flow, packet.request});
+    if (found == pending_requests_.end()) {
+        return;  // a duplicate of an outcome that has been counted
     }
-    const auto& waiting = found->second;
-    auto& counts = tallies_[{waiting.service, waiting.request.member}];
+    const auto& pending = found->second;
+    auto& counts = tallies_[{pending.service, pending.request.member}];
     if (packet.kind == packet_kind::answer) {
         ++counts.answered;
-        counts.latencies_ms.push_back((now - waiting.asked).count());
-        if (packet.payload != "done:" + waiting.request.payload) {
+        counts.latencies_ms.push_back((now - pending.sent_at).count());
+        if (packet.payload != "done:" + pending.request.payload) {
             ++counts.wrong_answers;
         }
     } else if (packet.kind == packet_kind::refused) {
         ++counts.not_run;
-        if (waiting.request.may_repeat == wire::repetition::at_most_once) {
-            refused_payloads_.insert(waiting.request.payload);
+        if (pending.request.may_repeat == wire::repetition::at_most_once) {
+            refused_payloads_.insert(pending.request.payload);
         }
     } else {
         ++counts.unknown;
     }
-    questions_.erase(found);
+    pending_requests_.erase(found);
 }
 
 }  // namespace bramleytrack::standins
--- a/standins/caller/caller.h
+++ b/standins/caller/caller.h
@@ -1,5 +1,5 @@
 // Stand-in for the callers: opens flows through the fabric, sends requests on them, retransmits
-// until each has a final outcome, and counts what it got.
+// until each has a final outcome, and counts the outcomes.
 #pragma once
 
 #include <ev++.h>
@@ -18,25 +18,25 @@
 
 namespace bramleytrack::standins {
 
-// What one member saw of one service.
+// Results of one member with one service.
 struct tally {
-    int asked = 0;
+    int requests_sent = 0;
     int answered = 0;
     int not_run = 0;
     int unknown = 0;
-    int no_outcome = 0;     // neither by its deadline: a broken promise
-    int wrong_answers = 0;  // an answer to another request, or not whole
+    int no_outcome = 0;     // no outcome by the deadline, which violates a guarantee
+    int wrong_answers = 0;  // answers to another request, or corrupted
     int flows_opened = 0;
     int opens_refused = 0;
     int flows_broken = 0;
-    int flows_broken_by_zone = 0;  // excused: operators took the flow's zone out
+    int flows_broken_by_zone = 0;  // allowed: operators had taken the target's zone out
     std::vector<std::int64_t> latencies_ms;
 };
 
 struct caller_options {
     std::string fabric_address;
     std::vector<std::string> members;
-    int flows_per_member = 20;  // of each service
+    int flows_per_member = 20;  // to each service
     int request_interval_ms = 400;
     int deadline_ms = 3000;
     int seed = 1;
@@ -51,11 +51,12 @@
 public:
     caller(ev::loop_ref loop, caller_options options, std::vector<called_service> services);
 
-    // Stops new requests; those that wait for an outcome go on.
-    void stop_asking() { is_asking_ = false; }
-    // Says whether a flow on `target` that broke at `lost` was in a zone that operators had out.
-    using excuse = std::function<bool(const std::string& target, clock::time_point lost)>;
-    void set_excuse(excuse is_excused) { is_excused_ = std::move(is_excused); }
+    // Sends no new requests; pending ones are still retransmitted.
+    void stop_requests() { is_sending_ = false; }
+    // Whether a flow to `target` that broke at `broken_at` was in a zone that operators had taken
+    // out.
+    using exemption = std::function<bool(const std::string& target, clock::time_point broken_at)>;
+    void set_exemption(exemption is_exempt) { is_exempt_ = std::move(is_exempt); }
 
     using tallies = std::map<std::pair<std::string, std::string>, tally>;  // service, member
     const tallies& results() const { return tallies_; }
@@ -65,45 +66,45 @@
 private:
     enum class flow_state { opening, open, paused };
 
-    struct flow {
+    struct flow_entry {
         const called_service* service = nullptr;
         std::string member;
         std::int64_t number = 0;
         flow_state state = flow_state::opening;
-        std::string target;  // as told by the target itself
+        std::string target;  // as reported by the target itself
         std::int64_t last_push = 0;
-        clock::time_point last_heard;
-        clock::time_point next_send;  // next copy of the open or of the keep-alive
-        clock::time_point next_ask;
-        clock::time_point resume_at;  // paused until then
+        clock::time_point last_received;
+        clock::time_point next_packet_at;  // next transmission of the open or the keep-alive
+        clock::time_point next_request_at;
+        clock::time_point resume_at;  // end of the pause
         std::int64_t next_request = 1;
     };
-    struct question {
+    struct pending_request {
         wire::packet request;
         std::string service;
-        clock::time_point asked;
-        clock::time_point next_copy;
+        clock::time_point sent_at;
+        clock::time_point retransmit_at;
     };
-    // A flow that broke; judged a little later, since the zone's state is read now and then.
-    struct loss {
+    // A flow that broke. It is classified after a delay, since the zones' state is only polled.
+    struct broken_flow {
         std::string service;
         std::string member;
         std::string target;
-        clock::time_point lost;
+        clock::time_point broken_at;
     };
-    using question_id = std::pair<std::int64_t, std::int64_t>;  // flow, request
+    using request_id = std::pair<std::int64_t, std::int64_t>;  // flow, request
 
     void on_datagram(std::span<const std::uint8_t> datagram);
     void on_tick(ev::timer& watcher, int events);
-    void open(flow& subject, clock::time_point now);
-    void reopen(flow& subject, clock::time_point now, clock::duration pause);
-    void lose(flow& subject, clock::time_point now);
-    void ask(flow& subject, clock::time_point now);
+    void open(flow_entry& flow, clock::time_point now);
+    void reopen(flow_entry& flow, clock::time_point now, clock::duration pause);
+    void record_break(flow_entry& flow, clock::time_point now);
+    void send_request(flow_entry& flow, clock::time_point now);
     void on_outcome(const wire::packet& packet, clock::time_point now);
-    void send(const flow& subject, wire::packet packet);
-    tally& tally_of(const flow& subject);
-    void repeat_questions(clock::time_point now);
-    void judge_losses(clock::time_point now);
+    void send(const flow_entry& flow, wire::packet packet);
+    tally& tally_of(const flow_entry& flow);
+    void retransmit_requests(clock::time_point now);
+    void classify_broken_flows(clock::time_point now);
 
     caller_options options_;
     std::vector<called_service> services_;
@@ -111,15 +112,15 @@
     wire::encoder encoder_;
     net::udp_endpoint endpoint_;
     ev::timer ticker_;
-    std::vector<flow> flows_;
+    std::vector<flow_entry> flows_;
     std::map<std::int64_t, std::size_t> index_of_flow_;
-    std::map<question_id, question> questions_;
+    std::map<request_id, pending_request> pending_requests_;
     std::set<std::string> refused_payloads_;
-    std::vector<loss> losses_;
-    excuse is_excused_;
+    std::vector<broken_flow> broken_flows_;
+    exemption is_exempt_;
     tallies tallies_;
     std::int64_t next_flow_number_ = 1;
-    bool is_asking_ = true;
+    bool is_sending_ = true;
 };
 
 }  // namespace bramleytrack::standins
--- a/standins/caller/main.cpp
+++ b/standins/caller/main.cpp
@@ -1,5 +1,5 @@
-// standin_caller: drives a mixed load for some seconds, prints what callers got, and judges the
-// promises that the run exercised. Exit status 0: all held.
+// standin_caller: generates a mixed load for some seconds, prints the results of the callers, and
+// checks the guarantees that the run exercised. Exit status 0: all held.
 #include <algorithm>
 #include <cstdio>
 
@@ -22,21 +22,21 @@
     return values[static_cast<std::size_t>(share * last)];
 }
 
-// Judges one promise: prints it and returns whether it held.
-bool judge(const char* promise, std::int64_t broken) {
-    std::printf("%-62s %s (%lld)\n", promise, broken == 0 ? "held" : "BROKEN",
-                static_cast<long long>(broken));
-    return broken == 0;
+// Prints the verdict on one guarantee and returns whether it held.
+bool print_verdict(const char* guarantee, std::int64_t violations) {
+    std::printf("%-62s %s (%lld)\n", guarantee, violations == 0 ? "held" : "BROKEN",
+                static_cast<long long>(violations));
+    return violations == 0;
 }
 
 void print_results(const caller::tallies& results) {
     std::printf("%-13s %-13s %6s %8s %7s %7s %6s %6s %6s %6s %5s %5s\n", "service", "member",
                 "asked", "answered", "not run", "unknown", "flows", "denied", "broken", "by zone",
                 "p50", "p99");
-    for (const auto& [who, each] : results) {
-        std::printf("%-13s %-13s %6d %8d %7d %7d %6d %6d %6d %6d %5lld %5lld\n", who.first.c_str(),
-                    who.second.c_str(), each.asked, each.answered, each.not_run, each.unknown,
-                    each.flows_opened, each.opens_refused, each.flows_broken,
+    for (const auto& [key, each] : results) {
+        std::printf("%-13s %-13s %6d %8d %7d %7d %6d %6d %6d %6d %5lld %5lld\n", key.first.c_str(),
+                    key.second.c_str(), each.requests_sent, each.answered, each.not_run,
+                    each.unknown, each.flows_opened, each.opens_refused, each.flows_broken,
                     each.flows_broken_by_zone,
                     static_cast<long long>(percentile(each.latencies_ms, 0.5)),
                     static_cast<long long>(percentile(each.latencies_ms, 0.99)));
@@ -60,32 +60,35 @@
     }
 }
 
-bool judge_all(const caller& callers, const observer& watched, const observation& seen) {
+bool print_verdicts(const caller& callers, const observer& watched, const observation& observed) {
     tally sum;
-    for (const auto& [who, each] : callers.results()) {
-        sum.asked += each.asked;
+    for (const auto& [key, each] : callers.results()) {
+        sum.requests_sent += each.requests_sent;
         sum.answered += each.answered;
         sum.no_outcome += each.no_outcome;
         sum.wrong_answers += each.wrong_answers;
         sum.flows_broken += each.flows_broken;
     }
     const auto run_twice =
-        std::ranges::count_if(seen.runs, [](const auto& entry) { return entry.second > 1; });
+        std::ranges::count_if(observed.runs, [](const auto& entry) { return entry.second > 1; });
     const auto false_refusals = std::ranges::count_if(
         callers.refused_payloads(),
-        [&](const std::string& payload) { return seen.runs.contains(payload); });
+        [&](const std::string& payload) { return observed.runs.contains(payload); });
     print_results(callers.results());
     print_imbalance(watched);
-    bool has_held = judge("flows broken, but for zones taken out", sum.flows_broken);
-    has_held &= judge("work that may not be repeated, run twice", run_twice);
-    has_held &= judge("refusals as not run that were not true", false_refusals);
-    has_held &= judge("requests without a final outcome", sum.no_outcome);
-    has_held &= judge("answers that were another request's or not whole", sum.wrong_answers);
-    has_held &= judge("packets for one service that reached another", seen.misdelivered);
-    has_held &= judge("targets given more than they bear at that moment", seen.overloads);
-    has_held &= judge("packets to zones out for 3 s", seen.packets_to_zones_out);
-    has_held &= judge("nothing answered at all", sum.answered == 0 ? 1 : 0);
-    return has_held;
+    bool all_held = print_verdict("flows broken, but for zones taken out", sum.flows_broken);
+    all_held &= print_verdict("work that may not be repeated, run twice", run_twice);
+    all_held &= print_verdict("refusals as not run that were not true", false_refusals);
+    all_held &= print_verdict("requests without a final outcome", sum.no_outcome);
+    all_held &=
+        print_verdict("answers that were another request's or not whole", sum.wrong_answers);
+    all_held &=
+        print_verdict("packets for one service that reached another", observed.misdelivered);
+    all_held &=
+        print_verdict("targets given more than they bear at that moment", observed.overloads);
+    all_held &= print_verdict("packets to zones out for 3 s", observed.packets_to_zones_out);
+    all_held &= print_verdict("nothing answered at all", sum.answered == 0 ? 1 : 0);
+    return all_held;
 }
 
 }  // namespace
@@ -99,8 +102,8 @@
     standins::caller_options options;
     settings::command_line{"[OPTIONS]"}
         .option("fleet", directory, "directory that standin_fleet created")
-        .option("members", members, "names, separated by commas")
-        .option("seconds", seconds, "how long to ask")
+        .option("members", members, "names of the members, separated by commas")
+        .option("seconds", seconds, "duration of the load in seconds")
         .option("flows", options.flows_per_member, "flows of each member to each service")
         .option("interval-ms", options.request_interval_ms, "pause between requests of a flow")
         .option("seed", options.seed, "seed of all random choices")
@@ -120,31 +123,31 @@
     ev::default_loop loop;
     standins::caller callers{loop, options, services};
     standins::observer watched{loop, fleet};
-    bool has_held = false;
-    callers.set_excuse([&](const std::string& target, clock::time_point lost) {
-        return watched.was_out(target, lost);
+    bool all_held = false;
+    callers.set_exemption([&](const std::string& target, clock::time_point broken_at) {
+        return watched.was_out(target, broken_at);
     });
-    struct hook {
+    struct timer_callback {
         std::function<void()> call;
-        // ev++ takes callbacks that are not const.
+        // Not const: ev++ accepts only non-const member functions as callbacks.
         void fire(ev::timer& /*watcher*/, int /*events*/) {  // NOLINT(*-member-function-const)
             call();
         }
     };
     constexpr double settle_seconds = 6;
-    hook stop_hook{[&] { callers.stop_asking(); }};
+    timer_callback stop_callback{[&] { callers.stop_requests(); }};
     ev::timer stop{loop};
-    stop.set<hook, &hook::fire>(&stop_hook);
+    stop.set<timer_callback, &timer_callback::fire>(&stop_callback);
     stop.start(seconds);
-    hook end_hook{[&] {
-        watched.collect([&](const standins::observation& seen) {
-            has_held = standins::judge_all(callers, watched, seen);
+    timer_callback end_callback{[&] {
+        watched.collect([&](const standins::observation& observed) {
+            all_held = standins::print_verdicts(callers, watched, observed);
             loop.break_loop(ev::ALL);
         });
     }};
     ev::timer end{loop};
-    end.set<hook, &hook::fire>(&end_hook);
+    end.set<timer_callback, &timer_callback::fire>(&end_callback);
     end.start(seconds + settle_seconds);
     loop.run();
-    return has_held ? 0 : 1;
+    return all_held ? 0 : 1;
 }
--- a/standins/caller/observer.cpp
+++ b/standins/caller/observer.cpp
@@ -34,7 +34,7 @@
                [this](const store::outcome<store::lookup_result>& answer, clock::time_point) {
                    const auto* found = std::get_if<store::lookup_result>(&answer);
                    if (found != nullptr && found->content) {
-                       on_text(found->content->value);
+                       on_configuration(found->content->value);
                    }
                });
     for (const auto& each : targets_) {
@@ -43,7 +43,7 @@
     }
 }
 
-void observer::on_text(const std::string& text) {
+void observer::on_configuration(const std::string& text) {
     const auto root = json::parse(text, nullptr, false, true);
     std::set<std::string> zones_out;
     for (const auto& zone : root["zones"]) {
@@ -54,21 +54,21 @@
     for (const auto& entry : root["targets"]) {
         const auto name = entry["name"].get<std::string>();
         if (!zones_out.contains(entry["zone"].get<std::string>())) {
-            if (out_.erase(name) > 0) {
+            if (evacuated_targets_.erase(name) > 0) {
                 outages_[name].back().end = clock::now();
             }
-        } else if (!out_.contains(name)) {
-            out_[name] = {.out_since = clock::now(), .packets = {}};
+        } else if (!evacuated_targets_.contains(name)) {
+            evacuated_targets_[name] = {.out_since = clock::now(), .packets = {}};
             outages_[name].push_back({.begin = clock::now(), .end = {}});
         }
     }
 }
 
 bool observer::was_out(const std::string& name, clock::time_point time) const {
-    constexpr clock::duration reading{1'000};
+    constexpr clock::duration max_read_delay{1'000};
     const auto found = outages_.find(name);
     return found != outages_.end() && std::ranges::any_of(found->second, [&](const outage& each) {
-               return time >= each.begin - reading && (!each.end || time <= *each.end);
+               return time >= each.begin - max_read_delay && (!each.end || time <= *each.end);
            });
 }
 
@@ -86,33 +86,34 @@
         peak_total_ = total;
         peak_connections_ = connections_;
     }
-    const auto found = out_.find(name);
-    if (found == out_.end() || clock::now() - found->second.out_since < silent_after) {
+    const auto found = evacuated_targets_.find(name);
+    if (found == evacuated_targets_.end() ||
+        clock::now() - found->second.out_since < max_evacuation_delay) {
         return;
     }
     const auto packets = stats["packets"].get<std::int64_t>();
-    seen_.packets_to_zones_out += packets - found->second.packets.value_or(packets);
+    observation_.packets_to_zones_out += packets - found->second.packets.value_or(packets);
     found->second.packets = packets;
 }
 
 void observer::collect(const std::function<void(const observation&)>& done) {
     ticker_.stop();
-    auto left = std::make_shared<std::size_t>(targets_.size());
+    auto remaining = std::make_shared<std::size_t>(targets_.size());
     for (const auto& each : targets_) {
         http_.get(each.admin_url + "/runs", http_timeout,
-                  [this, left, done](const net::http_result& answer) {
+                  [this, remaining, done](const net::http_result& answer) {
                       const auto stats = json::parse(answer.body, nullptr, false);
                       if (stats.is_object()) {
-                          seen_.misdelivered += stats["misdelivered"].get<std::int64_t>();
-                          seen_.overloads += stats["overloads"].get<std::int64_t>();
+                          observation_.misdelivered += stats["misdelivered"].get<std::int64_t>();
+                          observation_.overloads += stats["overloads"].get<std::int64_t>();
                           for (const auto& [payload, count] : stats["runs"].items()) {
-                              seen_.runs[payload] += count.get<int>();
+                              observation_.runs[payload] += count.get<int>();
                           }
                       } else {
-                          ++seen_.targets_unreachable;
+                          ++observation_.targets_unreachable;
                       }
-                      if (--*left == 0) {
-                          done(seen_);
+                      if (--*remaining == 0) {
+                          done(observation_);
                       }
                   });
     }
--- a/standins/caller/observer.h
+++ b/standins/caller/observer.h
@@ -1,5 +1,5 @@
-// Watches the stand-in targets and the operators' text from outside, and judges the promises that a
-// run exercises.
+// Polls the stand-in targets and the operators' configuration, and records what is needed to check
+// the guarantees that a run exercises.
 #pragma once
 
 #include <ev++.h>
@@ -17,11 +17,11 @@
 
 namespace bramleytrack::standins {
 
-// A zone that operators have taken out is to be silent from then on.
-constexpr clock::duration silent_after{3'000};
+// Targets of a zone that operators have taken out must receive no packets after this delay.
+constexpr clock::duration max_evacuation_delay{3'000};
 
 struct observation {
-    std::map<std::string, int> runs;  // payload of at-most-once requests: how often run
+    std::map<std::string, int> runs;  // number of runs by payload of at-most-once requests
     std::int64_t packets_to_zones_out = 0;
     std::int64_t misdelivered = 0;
     std::int64_t overloads = 0;
@@ -32,14 +32,14 @@
 public:
     observer(ev::loop_ref loop, const nlohmann::json& fleet);
 
-    // Whether the target's zone was out at that time, as far as the text that is read now and then
-    // can tell: a change is seen at most a reading late.
+    // Whether the target's zone was out at that time. The configuration is polled, so a change is
+    // noticed at most one polling interval late.
     bool was_out(const std::string& name, clock::time_point time) const;
-    // Connections per target when most were open.
+    // Connections per target when their total was largest.
     const std::map<std::string, int>& peak_connections() const { return peak_connections_; }
     const std::map<std::string, std::string>& service_of_target() const { return service_of_; }
 
-    // Reads the runs of all targets; `done` is called once.
+    // Reads the run counts of all targets, then calls `done` once.
     void collect(const std::function<void(const observation&)>& done);
 
 private:
@@ -47,9 +47,9 @@
         std::string name;
         std::string admin_url;
     };
-    struct silence {
+    struct evacuated_target {
         clock::time_point out_since;
-        std::optional<std::int64_t> packets;  // when silence began
+        std::optional<std::int64_t> packets;  // count when the delay had passed
     };
 
     struct outage {
@@ -58,7 +58,7 @@
     };
 
     void on_tick(ev::timer& watcher, int events);
-    void on_text(const std::string& text);
+    void on_configuration(const std::string& text);
     void on_stats(const std::string& name, const net::http_result& answer);
 
     net::http_client http_;
@@ -66,12 +66,12 @@
     platform_adapter::kv_store store_;
     std::vector<target> targets_;
     std::map<std::string, std::string> service_of_;
-    std::map<std::string, silence> out_;                  // by target
-    std::map<std::string, std::vector<outage>> outages_;  // by target
+    std::map<std::string, evacuated_target> evacuated_targets_;  // by target
+    std::map<std::string, std::vector<outage>> outages_;         // by target
     std::map<std::string, int> connections_;
     std::map<std::string, int> peak_connections_;
     int peak_total_ = 0;
-    observation seen_;
+    observation observation_;
 };
 
 }  // namespace bramleytrack::standins
