--- a/standins/target/main.cpp
+++ b/standins/target/main.cpp
@@ -1,4 +1,4 @@
-// standin_target: one target host.
+// standin_target: a target host.
 #include "settings/command_line.h"
 #include "target.h"
 
@@ -6,14 +6,16 @@
     using namespace bramleytrack;
     standins::target_options options;
     settings::command_line{"[OPTIONS]"}
-        .option("name", options.name, "the target's name in the operators' text")
+        .option("name", options.name, "the target's name in the text of the configuration")
         .option("address", options.address, "ip:port (UDP) of the service")
         .option("admin", options.admin_address, "ip:port (HTTP) of /stats, /runs and /cold")
-        .option("slots", options.slots, "requests that run at once")
-        .option("connections", options.connections, "flows that may be open at once")
-        .option("cold-connections", options.cold_connections, "flows borne in cold start")
+        .option("slots", options.slots, "number of requests that run concurrently")
+        .option("connections", options.connections, "number of flows that may be open concurrently")
+        .option("cold-connections", options.cold_connections,
+                "limit of open flows during cold start")
         .option("service-ms", options.service_ms, "time that one request takes")
-        .option("push-interval-ms", options.push_interval_ms, "0: no pushes")
+        .option("push-interval-ms", options.push_interval_ms,
+                "interval between pushes to a flow; 0: no pushes")
         .parse(argc, argv);
     ev::default_loop loop;
     const standins::target process{loop, options};
--- a/standins/target/target.cpp
+++ b/standins/target/target.cpp
@@ -9,10 +9,10 @@
 using wire::packet_kind;
 
 constexpr double tick_seconds = 0.005;
-constexpr clock::duration cold_time{20'000};
+constexpr clock::duration cold_duration{20'000};
 constexpr std::size_t max_unacknowledged = 64;
 
-wire::packet answer_to(const wire::packet& packet, packet_kind kind) {
+wire::packet reply_to(const wire::packet& packet, packet_kind kind) {
     auto result = packet;
     result.kind = kind;
     result.payload.clear();
@@ -57,14 +57,14 @@
     }
     const auto found = flows_.find({packet->caller, packet->flow});
     if (found == flows_.end()) {
-        send(sender, answer_to(*packet, packet_kind::reset));
+        send(sender, reply_to(*packet, packet_kind::reset));
         return;
     }
-    auto& known = found->second;
-    if (known.opened_by.service_address != packet->service_address) {
+    auto& flow = found->second;
+    if (flow.opening.service_address != packet->service_address) {
         ++misdelivered_;
     }
-    known.return_address = sender;
+    flow.return_address = sender;
     switch (packet->kind) {
         case packet_kind::request:
             on_request(sender, *packet);
@@ -73,7 +73,7 @@
             on_cancel(*packet);
             return;
         case packet_kind::acknowledge:
-            std::erase_if(known.unacknowledged, [&](const wire::packet& each) {
+            std::erase_if(flow.unacknowledged, [&](const wire::packet& each) {
                 return each.sequence <= packet->sequence;
             });
             return;
@@ -88,19 +88,19 @@
 void target::on_open(std::string_view sender, const wire::packet& packet) {
     const flow_id id{packet.caller, packet.flow};
     if (!flows_.contains(id)) {
-        const int bound = is_cold_ ? options_.cold_connections : options_.connections;
-        if (static_cast<int>(flows_.size()) >= bound && !is_cold_) {
+        const int max_flows = is_cold_ ? options_.cold_connections : options_.connections;
+        if (static_cast<int>(flows_.size()) >= max_flows && !is_cold_) {
             ++overloads_;
         }
-        flows_[id] = {.opened_by = packet,
+        flows_[id] = {.opening = packet,
                       .return_address = std::string{sender},
                       .pushed = 0,
                       .unacknowledged = {},
                       .next_push = clock::now()};
-        most_connections_ = std::max(most_connections_, static_cast<int>(flows_.size()));
+        max_connections_ = std::max(max_connections_, static_cast<int>(flows_.size()));
     }
     flows_[id].return_address = sender;
-    auto accepted = answer_to(packet, packet_kind::open_accepted);
+    auto accepted = reply_to(packet, packet_kind::open_accepted);
     accepted.payload = options_.name;
     send(sender, accepted);
 }
@@ -112,7 +112,7 @@
     }
     if (static_cast<int>(running_.size()) >= options_.slots) {
         ++overloads_;
-        auto refusal = answer_to(packet, packet_kind::shed);
+        auto refusal = reply_to(packet, packet_kind::shed);
         refusal.come_back_ms = options_.service_ms;
         send(sender, refusal);
         return;
@@ -124,11 +124,11 @@
 }
 
 void target::on_cancel(const wire::packet& packet) {
-    const auto is_meant = [&](const work& each) {
+    const auto matches = [&](const running_request& each) {
         return each.request.caller == packet.caller && each.request.flow == packet.flow &&
                each.request.request == packet.request;
     };
-    const auto found = std::ranges::find_if(running_, is_meant);
+    const auto found = std::ranges::find_if(running_, matches);
     if (found == running_.end()) {
         return;
     }
@@ -136,10 +136,10 @@
     running_.erase(found);
 }
 
-void target::report_to(std::string_view sender, std::int64_t question) {
+void target::report_to(std::string_view sender, std::int64_t query_id) {
     wire::packet report;
     report.kind = packet_kind::report;
-    report.sequence = question;
+    report.sequence = query_id;
     wire::target_report content;
     content.slots_in_use = static_cast<std::int32_t>(running_.size());
     content.connections = static_cast<std::int32_t>(flows_.size());
@@ -148,8 +148,8 @@
     send(sender, report);
 }
 
-void target::answer(const work& done) {
-    auto packet = answer_to(done.request, packet_kind::answer);
+void target::answer(const running_request& done) {
+    auto packet = reply_to(done.request, packet_kind::answer);
     packet.payload = "done:" + done.request.payload;
     const auto found = flows_.find({packet.caller, packet.flow});
     if (found != flows_.end()) {
@@ -160,12 +160,12 @@
 void target::on_tick(ev::timer& /*watcher*/, int /*events*/) {
     const auto now = clock::now();
     is_cold_ = is_cold_ && now < warm_at_;
-    std::erase_if(running_, [this, now](const work& each) {
-        const bool is_over = now >= to_time_point(each.request.deadline);
-        if (!is_over && now < each.ends) {
+    std::erase_if(running_, [this, now](const running_request& each) {
+        const bool is_expired = now >= to_time_point(each.request.deadline);
+        if (!is_expired && now < each.ends_at) {
             return false;
         }
-        if (!is_over) {
+        if (!is_expired) {
             answer(each);
         }
         return true;
@@ -177,24 +177,24 @@
     }
 }
 
-void target::push(flow& subject, clock::time_point now) {
+void target::push(flow_entry& flow, clock::time_point now) {
     if (options_.push_interval_ms <= 0) {
         return;
     }
-    if (subject.unacknowledged.size() < max_unacknowledged) {
-        auto packet = answer_to(subject.opened_by, packet_kind::push);
-        packet.sequence = ++subject.pushed;
-        subject.unacknowledged.push_back(std::move(packet));
+    if (flow.unacknowledged.size() < max_unacknowledged) {
+        auto packet = reply_to(flow.opening, packet_kind::push);
+        packet.sequence = ++flow.pushed;
+        flow.unacknowledged.push_back(std::move(packet));
     }
-    for (const auto& each : subject.unacknowledged) {
-        send(subject.return_address, each);
+    for (const auto& each : flow.unacknowledged) {
+        send(flow.return_address, each);
     }
-    subject.next_push = now + clock::duration{options_.push_interval_ms};
+    flow.next_push = now + clock::duration{options_.push_interval_ms};
 }
 
 void target::become_cold() {
     is_cold_ = true;
-    warm_at_ = clock::now() + cold_time;
+    warm_at_ = clock::now() + cold_duration;
 }
 
 void target::serve(const net::http_request& request, const net::http_responder& respond) {
@@ -204,7 +204,7 @@
     nlohmann::json root;
     root["name"] = options_.name;
     root["connections"] = flows_.size();
-    root["most_connections"] = most_connections_;
+    root["most_connections"] = max_connections_;
     root["packets"] = packets_;
     root["overloads"] = overloads_;
     root["misdelivered"] = misdelivered_;
