--- a/standins/fabric/main.cpp
+++ b/standins/fabric/main.cpp
@@ -1,6 +1,6 @@
-// standin_fabric: takes callers' datagrams and hands each to any instance that the platform lists,
-// by a seeded choice. It notes the caller's address, as a fabric leaves the source address in
-// place.
+// standin_fabric: forwards each datagram of a caller to an instance of the platform's list, chosen
+// at random with a seed. It records the caller's address in the packet, since a real fabric
+// preserves the source address.
 #include <random>
 
 #include "membership/instance_list.h"
@@ -23,7 +23,7 @@
           http_{loop},
           callers_{loop, address,
                    [this](std::string_view sender, std::span<const std::uint8_t> datagram) {
-                       hand_on(sender, datagram);
+                       forward(sender, datagram);
                    }},
           ticker_{loop} {
         ticker_.set<fabric, &fabric::on_tick>(this);
@@ -41,7 +41,7 @@
         });
     }
 
-    void hand_on(std::string_view sender, std::span<const std::uint8_t> datagram) {
+    void forward(std::string_view sender, std::span<const std::uint8_t> datagram) {
         auto decoded = wire::decode_packet(datagram);
         auto* packet = std::get_if<wire::packet>(&decoded);
         if (packet == nullptr || instances_.empty()) {
@@ -70,9 +70,9 @@
     std::string list_url;
     int seed = 1;
     settings::command_line{"[OPTIONS]"}
-        .option("address", address, "ip:port where callers send to")
+        .option("address", address, "ip:port that callers send to")
         .option("instances", list_url, "URL of the platform's instance list")
-        .option("seed", seed, "seed of the choice among instances")
+        .option("seed", seed, "seed of the choice of instances")
         .parse(argc, argv);
     ev::default_loop loop;
     const standins::fabric process{loop, address, list_url, seed};
--- a/standins/fleet/main.cpp
+++ b/standins/fleet/main.cpp
@@ -1,5 +1,5 @@
-// standin_fleet: writes the settings of a whole fleet on free loopback ports, and tells the
-// platform stand-in about instances and faults. It starts nothing; meta/bramleytrack.sh does.
+// standin_fleet: writes the settings of a fleet with free loopback ports, and registers instances
+// and sets faults at the platform stand-in. The processes are started by meta/bramleytrack.sh.
 #include <cstdio>
 #include <fstream>
 #include <nlohmann/json.hpp>
@@ -56,7 +56,7 @@
         json settings = entry;
         settings.erase("state");
         settings["target_address"] = ports.take();
-        // A link to the store of each instance's own, which scripts may end.
+        // Each instance reaches the store through its own link, so that scripts can cut it.
         settings["store_address"] = ports.take();
         settings["instance_list_url"] = "http://" + platform + "/v1/instances";
         settings["fleet_passphrase"] = "stand-in fleet";
@@ -90,10 +90,10 @@
     return 0;
 }
 
-// Ports that are free on 127.0.0.1 for UDP and TCP.
-void print_ports(int number) {
+// Prints ports that are free on 127.0.0.1 for both UDP and TCP.
+void print_ports(int count) {
     port_source ports;
-    for (int i = 0; i < number; ++i) {
+    for (int i = 0; i < count; ++i) {
         const auto address = ports.take();
         std::printf("%s\n", address.substr(address.rfind(':') + 1).c_str());
     }
--- a/standins/fleet/port_source.h
+++ b/standins/fleet/port_source.h
@@ -1,4 +1,4 @@
-// Ports that are free on loopback now, for fleets of processes that are about to start.
+// Finds free loopback ports for fleets of processes that are about to start.
 #pragma once
 
 #include <netinet/in.h>
@@ -12,7 +12,7 @@
 
 namespace bramleytrack::standins {
 
-// Free ports that stay distinct because all are held until the end of the process.
+// Returns distinct free ports: each stays bound until the port source is destroyed.
 class port_source {
 public:
     ~port_source() {
@@ -25,7 +25,7 @@
     port_source& operator=(const port_source&) = delete;
 
     std::string take() {
-        // TCP and UDP have spaces of their own: a port is taken when it is free in both.
+        // TCP and UDP have separate port spaces: the port must be free in both.
         while (true) {
             const int stream = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
             const int datagrams = socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
