--- a/meta/bramleytrack.sh
+++ b/meta/bramleytrack.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# bramleytrack's one script: sets everything up on a fresh Debian, then runs or tests the system.
-#   run                                    a fleet that routes by token, as on the users' platform, on
-#                                          loopback stand-ins, with changes and faults, and a verdict
+# Installs the dependencies on a fresh Debian, then builds, runs or tests bramleytrack.
+#   run                                    starts a fleet that routes by token, as on the users' platform, with
+#                                          loopback stand-ins, applies changes and faults, prints a verdict
 #   run [--shape association|collective] [--scenario NAME]
 #                                          the same for a fleet that routes by owners
-#   test                                   formatter, linter, build and tests, plain and sanitized, and a short soak
-#   soak [FIRST LAST [OPTION...]]          seeds of the soak, four at a time; options are standin_soak's
+#   test                                   formatter, linter, build, tests with and without sanitizers, short soak
+#   soak [FIRST LAST [OPTION...]]          runs a range of soak seeds, four in parallel; options of standin_soak
 #   build | format | lint | unit | sanitized | generate   the single steps
 set -euo pipefail
 
@@ -49,8 +49,8 @@
     own_sources | xargs clang-format --dry-run --Werror
 }
 
-# Failure: two slices include each other, and neither can be read, tested or replaced without the
-# other. It shows as a loop in the graph of folders.
+# Rejects include cycles between the folders of libraries/: two folders that include each other cannot
+# be read, tested or replaced separately. tsort fails if the include graph of the folders has a cycle.
 check_includes() {
     say "includes between slices"
     git grep -n '^#include "' -- 'libraries/*.h' 'libraries/*.cpp' ':!libraries/wire/generated' |
@@ -64,8 +64,8 @@
     own_sources | grep '\.cpp$' | xargs -P "$jobs" -n 2 clang-tidy -p "$build" --quiet 2>/dev/null
 }
 
-# Tests in KNOWN-RED.txt fail for a real fault that isn't mended yet: they are passed over, printed, and
-# at most three. A line begins with the test's name.
+# Tests listed in KNOWN-RED.txt fail because of a real fault that is not fixed yet. They are skipped and
+# printed; at most three are allowed. Each line begins with the name of the test.
 run_tests() { # program
     local names=()
     if [[ -f KNOWN-RED.txt ]]; then
@@ -95,16 +95,16 @@
     run_tests "$build-sanitized/bramleytrack_tests"
 }
 
-# Failure: a datagram carries a number that names no kind, and reading it back from an enumeration
-# without a fixed type is undefined. With a fixed type every number is a value, and the tables of
-# handlers drop those that they don't list.
+# Gives the generated enumerations a fixed underlying type. A datagram may carry a number that is not a
+# kind; without a fixed type, storing it in the enumeration is undefined behaviour. With a fixed type
+# every number is a valid value, and the handler tables drop those that they do not list.
 generate() {
     thrift --gen cpp:pure_enums=enum_class,moveable_types,no_skeleton,templates \
         -out libraries/wire/generated libraries/wire/bramleytrack.thrift
     sed -i -E 's/^enum ([a-z_]+) \{/enum \1 : int {/' libraries/wire/generated/bramleytrack_types.h
 }
 
-# Each seed keeps its settings and logs in a folder of its own, which is named when it failed.
+# Each seed has its own folder for settings and logs. The folders of failed seeds are kept and printed.
 run_soak() { # first seed, last seed, options of standin_soak
     local first=$1 last=$2 folder failed=0 seed
     shift 2
--- a/meta/fleet.sh
+++ b/meta/fleet.sh
@@ -1,7 +1,7 @@
-# A fleet of real processes on loopback stand-ins, and the scenarios that it is put through.
+# Starts a fleet of real processes with loopback stand-ins and runs scenarios on it.
 # Sourced by bramleytrack.sh; expects $build and say().
 #
-# Every process is started here and ended here by its id; nothing is left running.
+# Every process is started here and killed here by its process id, so none is left running.
 
 declare -A pids=()
 workspace=
@@ -39,7 +39,7 @@
     "$build/standin_fleet" fault "$workspace" "$1"
 }
 
-# Each instance reaches the store by a link of its own.
+# Each instance reaches the store through its own link, so that it can be cut off separately.
 declare -A store_links=()
 
 open_store_link() { # instance
@@ -57,9 +57,10 @@
     register "$1" live
 }
 
-# Failure: a port that was free when the settings were written is taken when its process starts, the
-# process ends at once, and the run judges a fleet that lacks a target. Seen with several fleets at a
-# time. All processes are looked at before any load, and a fleet that isn't whole is started anew.
+# A port that was free when the settings were written may be in use when its process starts. The process
+# then exits at once, and the run would test a fleet that lacks a target. This was seen with several
+# fleets running at the same time. All processes are therefore checked before any load, and an
+# incomplete fleet is started again.
 start_fleet() { # shape
     local attempt
     for attempt in 1 2 3; do
@@ -108,7 +109,7 @@
     for name in "${instances[@]}"; do
         start_instance "$name" || return 0
     done
-    sleep 1.5 # the platform's list shows the instances late
+    sleep 1.5 # the platform's instance list shows changes after a delay
 }
 
 start_callers() { # seconds
@@ -124,7 +125,7 @@
     register "$1" gone
 }
 
-# SIGTERM is a planned leave: the process hands its targets over and ends by itself.
+# SIGTERM starts a graceful shutdown: the process hands over its targets and exits.
 restart_instance() { # name
     say "restarting instance $1"
     register "$1" leaving
@@ -133,7 +134,7 @@
     start_instance "$1"
 }
 
-# Operators' changes and one crash while callers are served: the main job.
+# Operator changes and one crash of an instance under load: the main scenario.
 scenario_changes() {
     start_callers 24
     sleep 5
@@ -153,7 +154,7 @@
     kill_instance "$killed"
 }
 
-# Two instances of one zone die in the same second.
+# Two instances of one zone crash at the same time.
 scenario_two_killed() {
     start_callers 16
     sleep 5
@@ -164,7 +165,8 @@
     register "$neighbour" gone
 }
 
-# An instance is paused for longer than its peers wait, goes on, and is paused again.
+# An instance is paused for longer than the failure-detection time of its peers, resumed, and paused
+# again.
 scenario_paused() {
     start_callers 22
     sleep 4
@@ -177,9 +179,9 @@
     done
 }
 
-# Every instance is replaced, one after the other.
+# Every instance is restarted, one after the other.
 scenario_rolling_restart() {
-    start_callers $((6 + 13 * ${#instances[@]})) # a leave takes over 10 s
+    start_callers $((6 + 13 * ${#instances[@]})) # a graceful shutdown takes over 10 s
     sleep 3
     for name in "${instances[@]}"; do
         restart_instance "$name"
@@ -187,7 +189,7 @@
     done
 }
 
-# The store can't be reached by one zone's instances, then by none, while a zone is taken out.
+# While a zone is taken out, the store is reachable only from that zone's instances, then from none.
 scenario_store_away() {
     start_callers 24
     sleep 3
--- a/meta/losses.py
+++ b/meta/losses.py
@@ -1,17 +1,18 @@
 #!/usr/bin/env python3
-"""Splits what a played day lost into what the targets couldn't do and what decisions lost.
+"""Splits the losses of a run into those from lack of target capacity and those from routing decisions.
 
   meta/losses.py REPORT --hosts 14 --slots 4 --work 58.4 [--other 0.06]
                  [--down 9-15:0.3] [--slow 8-16:0.3x5]
 
-REPORT is the JSON file of a run (--report). The service that is pressed has so many hosts and slots
-and its requests take --work milliseconds; --other is the share of all requests that go elsewhere and
-are always served. --down and --slow, which may come more than once, tell when which share of the
-hosts was silent, or took so many times as long.
+REPORT is the JSON file of a run (--report). The overloaded service has --hosts hosts with --slots slots
+each, and its requests take --work milliseconds; --other is the share of all requests that go to other
+services and are always served. --down and --slow may be repeated; each gives a time span and the share
+of hosts that did not respond, or whose requests took the given multiple of the time, during it.
 
-For each window: requests asked, in aim, late and failed; how many the slots could have done; what of
-those that weren't answered in aim no decision could have had (no slot), and the rest (the gap).
-Starts of hosts, warm-up and the network aren't counted, so the gap is an upper bound.
+For each window: requests sent, answered within the objective (in aim), late and failed; the capacity of
+the slots; of the requests not answered within the objective, those that exceeded the capacity (no slot)
+and the rest (the gap). Host starts, warm-up and the network are not counted, so the gap is an upper
+bound for the losses from routing decisions.
 """
 import argparse
 import json
@@ -19,7 +20,7 @@
 
 
 def span(text):
-    """9-15:0.3 or 8-16:0.3x5, as (from, to, share, factor); a factor of 0 means silent."""
+    """Parses 9-15:0.3 or 8-16:0.3x5 into (from, to, share, factor); factor 0: hosts do not respond."""
     match = re.fullmatch(r"([\d.]+)-([\d.]+):([\d.]+)(?:x([\d.]+))?", text)
     if match is None:
         raise argparse.ArgumentTypeError(f"not FROM-TO:SHARE[xFACTOR]: {text}")
@@ -28,7 +29,7 @@
 
 
 def hosts_at(second, hosts, spans):
-    """What the hosts do in that second, as a number of hosts that are well."""
+    """Capacity of the hosts in that second, as a number of healthy hosts."""
     lost = 0.0
     for begin, end, share, factor in spans:
         if begin <= second < end:
@@ -37,7 +38,7 @@
 
 
 def capacity(begin, end, options):
-    """Requests that the slots can do between two moments, step by step."""
+    """Requests that the slots can process between two points in time, summed over 0.1 s steps."""
     step = 0.1
     steps = round((end - begin) / step)
     each_second = options.slots * 1000 / options.work
--- a/meta/steering_fleet.sh
+++ b/meta/steering_fleet.sh
@@ -1,15 +1,15 @@
-# A fleet that routes by token, as real processes on loopback: the daemon with the adapter to the users'
-# platform, and stand-ins for its store, routers, targets and callers. Sourced by bramleytrack.sh after
-# fleet.sh, whose start() and stop_fleet() it uses.
+# Starts a fleet that routes by token as real processes on loopback: the daemon with the adapter for the
+# users' platform, and stand-ins for its store, routers, targets and callers. Sourced by bramleytrack.sh
+# after fleet.sh, whose start() and stop_fleet() it uses.
 #
-# Every process has a loopback address of its own, since the platform's ports are the same on all machines.
+# Every process has its own loopback address, since the platform uses the same ports on all machines.
 
 steering_zones=(north middle south)
 steering_store=127.0.3.1
 steering_callers=127.0.4.1
 store=
 
-free_ports() { # number: ports that are free now for UDP and TCP on all loopback addresses used here
+free_ports() { # count; prints ports free for UDP and TCP on 127.0.0.1, to use on all loopback addresses here
     "$build/standin_fleet" --count "$1" ports
 }
 
@@ -94,8 +94,8 @@
     is_fleet_whole
 }
 
-# Everything that an ordinary bad day brings: changes, a drain, a crash of a target and of an instance, a
-# restart, an outage of the store in which an instance starts, and a zone that is taken out.
+# Common changes and faults: a new route, a drain, crashes of a target and of an instance, a graceful
+# restart, a store outage during which an instance starts, and a zone that is taken out.
 steering_scenario() {
     sleep 3
     say "a route is added"
@@ -134,7 +134,7 @@
     curl_put "$store" "/remove?key=servers/i-a2" ""
 }
 
-# What the instances believe, as an operator would look at it.
+# Shows the state of all instances with the tool that operators use.
 show_instances() {
     local i addresses=()
     for i in 1 2 3 4 5 6; do
