--- a/standins/flow_caller/flow_caller.h
+++ b/standins/flow_caller/flow_caller.h
@@ -37,8 +37,8 @@
     std::string target;  // where the flow was open
     std::string sender;  // ip:port of the process that sent the reset
     bool is_from_balancer = false;
-    int opening_copies =
-        0;  // retransmissions of the opening; if any, two targets may have accepted the flow
+    // Retransmissions of the opening; if there were any, two targets may have accepted the flow.
+    int opening_copies = 0;
     clock::time_point opened_at;
 };
 
--- a/standins/flow_caller/router.h
+++ b/standins/flow_caller/router.h
@@ -21,7 +21,8 @@
 
     router(ev::loop_ref loop, std::vector<instance> instances);
 
-    // Returns the packet address of an instance; empty if there are no instances.
+    // Returns the packet address of an instance; empty if there are no instances. If fewer than
+    // half of the instances are in rotation, chooses among all of them.
     std::string choose(std::uint64_t flow_hash) const;
 
 private:
--- a/standins/flow_target/flow_target.h
+++ b/standins/flow_target/flow_target.h
@@ -72,9 +72,8 @@
     net::udp_endpoint packets_;
     net::http_server admin_;
     net::http_client http_;
-    std::map<std::string, flow_state> flows_;  // by the caller's and the route's address
-    std::map<std::string, flow_packet>
-        newest_packets_;  // newest packet of each flow, for the reply address
+    std::map<std::string, flow_state> flows_;            // by the caller's and the route's address
+    std::map<std::string, flow_packet> newest_packets_;  // by flow, for the reply address
     std::deque<queued_request> queue_;
     std::deque<std::pair<clock::time_point, queued_request>> running_;
     std::map<std::string, int> runs_;
