--- a/libraries/observability/metrics.cpp
+++ b/libraries/observability/metrics.cpp
@@ -40,20 +40,19 @@
 
 constexpr std::array gauges{
     gauge_description<context>{
-        "bramleytrack_packets_from_callers", "packets received from callers through the fabric",
+        "bramleytrack_packets_from_callers", "packets that the fabric handed to this instance",
         [](const context& state) { return as_double(state.counts.packets_from_callers); }},
     gauge_description<context>{
-        "bramleytrack_packets_forwarded", "packets forwarded to another instance",
+        "bramleytrack_packets_forwarded", "packets passed on to another instance",
         [](const context& state) { return as_double(state.counts.packets_forwarded); }},
     gauge_description<context>{
-        "bramleytrack_packets_from_targets", "packets received from targets",
+        "bramleytrack_packets_from_targets", "packets that targets sent to this instance",
         [](const context& state) { return as_double(state.counts.packets_from_targets); }},
     gauge_description<context>{
-        "bramleytrack_packets_dropped", "packets dropped; the log has the result code",
+        "bramleytrack_packets_dropped", "packets dropped; the log gives the result code",
         [](const context& state) { return as_double(state.counts.dropped); }},
     gauge_description<context>{
-        "bramleytrack_flows_recovered",
-        "flows recovered after a crash of the instance that owned them",
+        "bramleytrack_flows_recovered", "flows found again after a crash of their owner",
         [](const context& state) { return as_double(state.counts.flows_recovered); }},
     gauge_description<context>{
         "bramleytrack_targets_owned", "targets that this instance owns",
--- a/libraries/observability/steering_metrics.cpp
+++ b/libraries/observability/steering_metrics.cpp
@@ -28,52 +28,47 @@
 }
 
 constexpr std::array gauges{
-    gauge_description<steering_gauges>{"bramleytrack_configuration_version",
-                                       "version of the configuration in force",
+    gauge_description<steering_gauges>{"bramleytrack_configuration_version", "version in force",
                                        &read_field<&steering_gauges::configuration_version>},
     gauge_description<steering_gauges>{"bramleytrack_known_revision",
-                                       "newest store revision that this instance holds",
+                                       "newest revision of the store that is known",
                                        &read_field<&steering_gauges::known_revision>},
     gauge_description<steering_gauges>{
         "bramleytrack_confirmed_ms_ago",
-        "milliseconds since what is held was last confirmed as current; -1: never",
+        "age of the newest word that what is known is still true; -1 is never",
         &read_field<&steering_gauges::confirmation_age_ms>},
     gauge_description<steering_gauges>{"bramleytrack_targets",
-                                       "targets held, including those that ended recently",
+                                       "targets known, with those that ended lately",
                                        &read_field<&steering_gauges::targets>},
     gauge_description<steering_gauges>{"bramleytrack_zones_out", "availability zones taken out",
                                        &read_field<&steering_gauges::zones_out>},
-    gauge_description<steering_gauges>{"bramleytrack_peers", "registered instances",
+    gauge_description<steering_gauges>{"bramleytrack_peers", "instances registered",
                                        &read_field<&steering_gauges::peers>},
-    gauge_description<steering_gauges>{"bramleytrack_flows",
-                                       "flows seen by this instance and not closed",
+    gauge_description<steering_gauges>{"bramleytrack_flows", "flows seen here and not closed",
                                        &read_field<&steering_gauges::flows>},
     gauge_description<steering_gauges>{"bramleytrack_store_calls", "calls made to the store",
                                        &read_field<&steering_gauges::store_calls>},
     gauge_description<steering_gauges>{"bramleytrack_lost_log_lines",
-                                       "log lines left out because the output wasn't read",
+                                       "lines left out: the output wasn't read",
                                        &read_field<&steering_gauges::dropped_log_lines>},
     gauge_description<steering_gauges>{"bramleytrack_malformed_datagrams",
                                        "datagrams that couldn't be decoded",
                                        &read_field<&steering_gauges::malformed_datagrams>},
     gauge_description<steering_gauges>{"bramleytrack_rejected_peer_messages",
-                                       "messages of peers that were unauthenticated or malformed",
+                                       "messages of peers that weren't authentic or readable",
                                        &read_field<&steering_gauges::rejected_peer_messages>},
-    gauge_description<steering_gauges>{
-        "bramleytrack_dropped_sends",
-        "datagrams that the operating system didn't accept for sending",
-        &read_field<&steering_gauges::dropped_sends>},
+    gauge_description<steering_gauges>{"bramleytrack_dropped_sends",
+                                       "datagrams that the system didn't take",
+                                       &read_field<&steering_gauges::dropped_sends>},
     gauge_description<steering_gauges>{"bramleytrack_target_probes",
-                                       "connections made to check whether a target is reachable",
+                                       "connections made to see whether a target lives",
                                        &read_field<&steering_gauges::target_probes>},
     gauge_description<steering_gauges>{"bramleytrack_targets_found_dead",
                                        "targets found dead by this instance and its peers",
                                        &read_field<&steering_gauges::targets_found_dead>},
-    gauge_description<steering_gauges>{"bramleytrack_store_reachable",
-                                       "1 while the store is reachable",
+    gauge_description<steering_gauges>{"bramleytrack_store_reachable", "1 while the store answers",
                                        &read_field<&steering_gauges::is_store_reachable>},
-    gauge_description<steering_gauges>{"bramleytrack_ready",
-                                       "1 while new flows are wanted on this instance",
+    gauge_description<steering_gauges>{"bramleytrack_ready", "1 while new flows are wanted here",
                                        &read_field<&steering_gauges::is_ready>},
 };
 
@@ -92,37 +87,32 @@
     prometheus::Family<prometheus::Histogram>& opening_times =
         prometheus::BuildHistogram()
             .Name("bramleytrack_opening_seconds")
-            .Help(
-                "time from the first opening packet seen by this instance to the caller's next "
-                "packet, by service")
+            .Help("time from the first opening packet seen here to the caller's next, by service")
             .Register(registry);
     prometheus::Family<prometheus::Histogram>& answer_times =
         prometheus::BuildHistogram()
             .Name("bramleytrack_answer_seconds")
-            .Help(
-                "time from the first byte of a request to the first byte of its answer, by service")
+            .Help("time from a request's first byte to the first of its answer, by service")
             .Register(registry);
     prometheus::Family<prometheus::Counter>& decisions =
         prometheus::BuildCounter()
             .Name("bramleytrack_openings_total")
-            .Help(
-                "what was decided for opening packets, and for later packets that weren't "
-                "forwarded")
+            .Help("what became of opening packets, and of later packets that weren't forwarded")
             .Register(registry);
     prometheus::Family<prometheus::Gauge>& slots =
         prometheus::BuildGauge()
             .Name("bramleytrack_service_slots")
-            .Help("slots of the service's targets that accept new flows")
+            .Help("slots of the service's targets that take flows")
             .Register(registry);
     prometheus::Family<prometheus::Gauge>& open =
         prometheus::BuildGauge()
             .Name("bramleytrack_service_open_requests")
-            .Help("requests open on those targets, through this instance and through others")
+            .Help("requests open on those targets, through this instance and through the others")
             .Register(registry);
     prometheus::Family<prometheus::Gauge>& demand =
         prometheus::BuildGauge()
             .Name("bramleytrack_service_wanted")
-            .Help("demand: requests and openings of about the last half second")
+            .Help("requests and openings of about the last half second")
             .Register(registry);
     // Caches the series per service: looking one up by its labels costs more than handling a
     // packet.
