--- a/libraries/distribution/configuration_sync.cpp
+++ b/libraries/distribution/configuration_sync.cpp
@@ -26,7 +26,7 @@
         // A store that was restored from an older copy returns an older version. Accepting it would
         // revert the fleet: a zone that is out would get packets again.
         if (!is_rejected(version, digest)) {
-            reject(version, digest, "store", "older than the version in use");
+            reject(version, digest, "store", "older than the version in force");
         }
         return false;
     }
@@ -40,7 +40,7 @@
     if (version == current.version) {
         shared_.out.log(log_event{"configuration_replaced"}
                             .with("version", version)
-                            .with("reason", "the store holds another text under this version"));
+                            .with("reason", "the store shows another text under this version"));
     }
     const bool is_new = activate(text, version, "store");
     shared_.is_configuration_confirmed = shared_.is_configuration_confirmed || is_new;
--- a/libraries/flows/home.cpp
+++ b/libraries/flows/home.cpp
@@ -107,7 +107,7 @@
         shared_.out.log(log_event{"flow_refused"}
                             .with("service", content.service_name)
                             .with("member", content.content.member)
-                            .with("reason", "no candidate has capacity"));
+                            .with("reason", "no candidate has room"));
         shared_.out.refuse(content.content, result_code::no_eligible_target,
                            no_capacity_retry_after);
         return;
