--- a/libraries/discovery/directory.h
+++ b/libraries/discovery/directory.h
@@ -37,9 +37,9 @@
     // The longest time for which a flow can continue after its target's entry was removed.
     clock::duration flow_lifetime{60'000};
     // For how long a target whose entry may have expired during a store outage is presumed alive,
-    // counted from the arrival of the removal at this instance. Live targets write their entries
-    // again within one heartbeat (1.5 s) after the store has recovered; 500 ms are added for late
-    // responses. Targets that are still missing then count as stopped.
+    // counted from the arrival of the removal at this instance. Targets whose entries expired
+    // during the outage have written them again about two seconds after the store is reachable
+    // again. A target whose entry is still missing then counts as gone.
     clock::duration reregistration_grace{2'000};
     // Entries that expire because of the same outage are removed within one heartbeat of the
     // targets. See presume_alive_on_bulk_removal().
--- a/services/bramleyd/steering_daemon.cpp
+++ b/services/bramleyd/steering_daemon.cpp
@@ -21,8 +21,8 @@
 // During a pause of this length, the process may have missed changes and its watch may have
 // stalled.
 constexpr clock::duration min_pause_for_reread{1'000};
-// Targets rewrite their expired entries within 2 s of the store's return. Until then a missing
-// entry does not show that its target is gone. Same bound as
+// Targets whose entries expired have written them again about two seconds after the store is
+// reachable again. Until then a missing entry does not show that its target is gone. Same bound as
 // directory_limits::reregistration_grace.
 constexpr clock::duration post_outage_grace{2'000};
 // Targets respond to callers directly; an instance infers from callers' packets that they do. Under
