--- a/libraries/store/feed.h
+++ b/libraries/store/feed.h
@@ -36,8 +36,9 @@
     // Changes come in bursts (a release, a start of the fleet), and each response to a watch is
     // charged as a call.
     clock::duration pause_after_events{200};
-    // Upper bound of pause_after_events times the number of watchers. A change must be in force on
-    // all instances within 3 s, and this pause delays it.
+    // Upper bound of pause_after_events times the number of watchers, however many these are. A
+    // change must be in force on all instances within 3 s; a pause of 1 s leaves 2 s of that for
+    // the response to the watch and for the digests of peers.
     clock::duration max_pause_after_events{1'000};
     // A store that doesn't support watches responds to each at once without events, and the next
     // watch would follow immediately. Two calls a second keep the confirmation age low enough.
