--- a/tests/steering_overload_test.cpp
+++ b/tests/steering_overload_test.cpp
@@ -110,7 +110,8 @@
     // Four targets of fourteen fall silent while their entries are still listed, and callers open a
     // flow for each request. Without failure detection nearly three openings of ten would wait for
     // their retransmissions, for as long as the entries are listed.
-    constexpr overload_features without_detection{.probes_targets = false, .handles_opening_copies = false};
+    constexpr overload_features without_detection{.probes_targets = false,
+                                                  .handles_opening_copies = false};
     const auto with = figures("steer_dead_short_flows", {});
     const auto without = figures("steer_dead_short_flows", without_detection);
     EXPECT_GT(with.at("in time"), 0.975);
