--- a/libraries/load/admission.cpp
+++ b/libraries/load/admission.cpp
@@ -5,8 +5,8 @@
 namespace bramleytrack::load {
 namespace {
 
-refusal refuse(const configuration::target& target, target_load& load, const work& refused,
-               result_code code, clock::time_point now) {
+refusal make_refusal(const configuration::target& target, target_load& load, const work& refused,
+                     result_code code, clock::time_point now) {
     return {.id = refused.id,
             .code = code,
             .retry_after = load.strategy->retry_after(target, load, refused, now)};
@@ -45,7 +45,7 @@
     const bool meets_deadline = end <= request.deadline && now < request.deadline;
     if (!meets_deadline &&
         !(can_run_now && load.times.take_probe(request.member, request.kind, now))) {
-        return refuse(target, load, request, result_code::deadline_too_near, now);
+        return make_refusal(target, load, request, result_code::deadline_too_near, now);
     }
     if (can_run_now) {
         return run_now{};
@@ -55,13 +55,13 @@
     if (load.queue.size() >= queue_capacity) {
         const auto evicted_request = load.strategy->evict_for(load.queue, request.member);
         if (!evicted_request) {
-            return refuse(target, load, request, result_code::queue_full, now);
+            return make_refusal(target, load, request, result_code::queue_full, now);
         }
         const work evicted_work{.id = evicted_request->id,
                                 .member = evicted_request->member,
                                 .kind = evicted_request->kind,
                                 .deadline = evicted_request->deadline};
-        result.evicted = refuse(target, load, evicted_work, result_code::queue_full, now);
+        result.evicted = make_refusal(target, load, evicted_work, result_code::queue_full, now);
     }
     load.queue.push(request, load.times.of(request.member, request.kind).mean, now);
     return result;
@@ -79,7 +79,7 @@
     for (const auto& each : taken) {
         const work as_work{
             .id = each.id, .member = each.member, .kind = each.kind, .deadline = each.deadline};
-        result.push_back(refuse(target, load, as_work, result_code::deadline_too_near, now));
+        result.push_back(make_refusal(target, load, as_work, result_code::deadline_too_near, now));
     }
     return result;
 }
@@ -93,7 +93,7 @@
     return next ? std::optional{next->id} : std::nullopt;
 }
 
-void requeue(target_load& load, const work& request, clock::time_point now) {
+void enqueue_admitted(target_load& load, const work& request, clock::time_point now) {
     load.queue.push(request, load.times.of(request.member, request.kind).mean, now);
 }
 
@@ -111,7 +111,7 @@
         return;
     }
     const auto& ended = found->second;
-    if (outcome != run_outcome::not_run) {
+    if (outcome != run_outcome::unmeasured) {
         load.times.record(ended.member, ended.kind, now - ended.dispatched_at, now);
     }
     load.queue.charge(ended.member,
--- a/libraries/load/deadline_check.cpp
+++ b/libraries/load/deadline_check.cpp
@@ -84,8 +84,8 @@
     return now + available.delay + to_duration(wait_margin * wait + time.upper_bound());
 }
 
-clock::duration retry_after_of_rejected(const configuration::target& target, target_load& load,
-                                        const work& refused, clock::time_point now) {
+clock::duration retry_after_of_refused(const configuration::target& target, target_load& load,
+                                       const work& refused, clock::time_point now) {
     const auto available = capacity_of(target, load, now);
     const double cost = load.times.of(refused.member, refused.kind).mean;
     const double waiting = remaining_running_work(load, now) + load.queue.cost();
--- a/libraries/load/deadline_check.h
+++ b/libraries/load/deadline_check.h
@@ -24,7 +24,7 @@
 
 // The time until the work queued now is done, plus the member's earlier refusals at one interval
 // each; see retry_after_plan.h.
-clock::duration retry_after_of_rejected(const configuration::target& target, target_load& load,
-                                        const work& refused, clock::time_point now);
+clock::duration retry_after_of_refused(const configuration::target& target, target_load& load,
+                                       const work& refused, clock::time_point now);
 
 }  // namespace bramleytrack::load
--- a/libraries/load/strategies.cpp
+++ b/libraries/load/strategies.cpp
@@ -12,7 +12,7 @@
         .end_if_dispatched = &end_if_dispatched,
         .latest_end = &latest_end,
         .end_if_queued = &end_if_queued,
-        .retry_after = &retry_after_of_rejected,
+        .retry_after = &retry_after_of_refused,
         .class_of = &class_of};
     return table;
 }
--- a/libraries/records/request_table.h
+++ b/libraries/records/request_table.h
@@ -3,7 +3,7 @@
 // dispatched requests hold.
 //
 // Invariant: once a request has an outcome, every retransmission gets the same outcome; only
-// `unknown` may still be followed by the target's answer. So a request that was rejected as not run
+// `unknown` may still be followed by the target's answer. So a request that was refused as not run
 // never runs afterwards, and one that ran never runs again.
 // Invariant: slots_held_on(target) equals the number of the target's records that hold a slot.
 #pragma once
--- a/libraries/requests/target_owner.cpp
+++ b/libraries/requests/target_owner.cpp
@@ -41,7 +41,7 @@
       last_dispatch_number_{hash_of(hash_of(shared.self.name),
                                     static_cast<std::uint64_t>(shared.self.incarnation))} {}
 
-void target_owner::handle(wire::forward content, clock::time_point now) {
+void target_owner::handle(wire::forward forwarded, clock::time_point now) {
     struct entry {
         packet_kind kind;
         handler handle;
@@ -54,42 +54,42 @@
         entry{packet_kind::cancel, &target_owner::cancel_request},
         entry{packet_kind::close, &target_owner::close_flow},
     };
-    const auto* target = shared_.configuration.find_target(content.target);
-    const auto* dispatcher = std::ranges::find(handlers, content.content.kind, &entry::kind);
+    const auto* target = shared_.configuration.find_target(forwarded.target);
+    const auto* dispatcher = std::ranges::find(handlers, forwarded.content.kind, &entry::kind);
     if (target == nullptr || dispatcher == handlers.end()) {
-        shared_.out.drop(content.content, result_code::malformed_datagram);
+        shared_.out.drop(forwarded.content, result_code::malformed_datagram);
         return;
     }
     if (!shared_.configuration.is_zone_in(target->zone)) {
-        reply_zone_out_of_service(content.content, now);
+        reply_zone_out_of_service(forwarded.content, now);
         return;
     }
     // Two flows may collide on one key, or two instances may briefly both act as the home of a flow
     // and place it on two of this instance's targets. The flow record decides, so that no packet is
     // sent to a target that the flow isn't placed on.
-    const auto* flow = shared_.flows.find(routing::key_of(content.content));
-    if (flow != nullptr && !flows::is_same_flow(*flow, content.content)) {
-        shared_.out.drop(content.content, result_code::wrong_service);
+    const auto* flow = shared_.flows.find(routing::key_of(forwarded.content));
+    if (flow != nullptr && !flows::is_same_flow(*flow, forwarded.content)) {
+        shared_.out.drop(forwarded.content, result_code::wrong_service);
         return;
     }
-    if (flow != nullptr && flow->record.target != content.target) {
-        content.target = flow->record.target;
-        path_.to_owner(std::move(content), now);
+    if (flow != nullptr && flow->record.target != forwarded.target) {
+        forwarded.target = flow->record.target;
+        path_.to_owner(std::move(forwarded), now);
         return;
     }
     // A flow belongs to the service that its opening packet was sent to, even if the address has
     // been reassigned to another service since.
-    if (flow != nullptr && content.content.kind != packet_kind::open) {
-        content.service_name = flow->record.service_name;
+    if (flow != nullptr && forwarded.content.kind != packet_kind::open) {
+        forwarded.service_name = flow->record.service_name;
     }
     // While instances hold different configuration versions, a packet for one service could reach a
     // target of another. The packet therefore carries the service that the first instance resolved,
     // which is compared here, right before the packet is sent to the target.
-    if (target->service != content.service_name) {
-        shared_.out.drop(content.content, result_code::wrong_service);
+    if (target->service != forwarded.service_name) {
+        shared_.out.drop(forwarded.content, result_code::wrong_service);
         return;
     }
-    (this->*dispatcher->handle)(*target, std::move(content), now);
+    (this->*dispatcher->handle)(*target, std::move(forwarded), now);
 }
 
 // Replies to a packet for a target whose zone is out of service; nothing is sent to such a target.
@@ -111,120 +111,124 @@
     }
 }
 
-void target_owner::reject_waiting(load::target_load& load, clock::time_point now) {
+void target_owner::refuse_waiting(load::target_load& load, clock::time_point now) {
     for (const auto& each : load.queue.take_all()) {
         auto* waiting = shared_.requests.find(each.id);
         if (waiting == nullptr || waiting->state != request_state::waiting) {
             continue;
         }
-        reject(*waiting, result_code::zone_out, zone_out_retry_after, now);
+        refuse(*waiting, result_code::zone_out, zone_out_retry_after, now);
     }
 }
 
-void target_owner::open_flow(const configuration::target& target, wire::forward content,
+void target_owner::open_flow(const configuration::target& target, wire::forward forwarded,
                              clock::time_point now) {
-    const auto key = routing::key_of(content.content);
+    const auto key = routing::key_of(forwarded.content);
     auto& load = shared_.loads[target.name];
     if (shared_.flows.find(key) == nullptr) {
         // Two owners that don't receive each other's heartbeats could both open one flow. The
         // packet is dropped; the caller retransmits it, and by then one of them has given the
         // target up.
         if (!shared_.peers.holds_lease(now)) {
-            shared_.out.drop(content.content, result_code::not_owner);
+            shared_.out.drop(forwarded.content, result_code::not_owner);
             return;
         }
         if (!load::admits_flow(target, load, now)) {
             wire::placement_declined declined;
-            declined.content = std::move(content.content);
+            declined.content = std::move(forwarded.content);
             declined.target = target.name;
             declined.code = static_cast<std::int32_t>(result_code::target_full);
             path_.decline(declined, now);
             return;
         }
-        ensure_flow(content, now);
+        ensure_flow(forwarded, now);
     }
-    shared_.out.send_target(target, std::move(content.content));
+    shared_.out.send_target(target, std::move(forwarded.content));
 }
 
-flows::flow& target_owner::ensure_flow(const wire::forward& content, clock::time_point now) {
-    const auto key = routing::key_of(content.content);
+flows::flow& target_owner::ensure_flow(const wire::forward& forwarded, clock::time_point now) {
+    const auto key = routing::key_of(forwarded.content);
     auto* existing = shared_.flows.find(key);
-    const bool is_open = content.content.kind == packet_kind::open;
-    if (existing != nullptr && existing->record.target == content.target) {
+    const bool is_opening_packet = forwarded.content.kind == packet_kind::open;
+    if (existing != nullptr && existing->record.target == forwarded.target) {
         existing->last_used = now;
         return *existing;
     }
     wire::flow_record record;
     record.key = static_cast<std::int64_t>(key);
-    record.service_address = content.content.service_address;
-    record.service_name = content.service_name;
-    record.caller = content.content.caller;
-    record.flow = content.content.flow;
-    record.member = content.content.member;
-    record.target = content.target;
+    record.service_address = forwarded.content.service_address;
+    record.service_name = forwarded.service_name;
+    record.caller = forwarded.content.caller;
+    record.flow = forwarded.content.flow;
+    record.member = forwarded.content.member;
+    record.target = forwarded.target;
     // A failed previous owner may have dispatched a request of which a copy arrives now; running
     // the copy would run the request twice. No dispatched request runs past its deadline and no
     // copy is older than records::max_request_lifetime, so for that long after the takeover such a
     // request is answered as unknown. The same holds for a flow of which a hand-over brought no
     // record.
-    auto in_doubt_until = shared_.loads[content.target].assumed_until;
-    const auto* owned = shared_.ownership.find(content.target);
-    if (!is_open && owned != nullptr && owned->acquired_by == membership::origin::handed_over) {
+    auto in_doubt_until = shared_.loads[forwarded.target].assumed_until;
+    const auto* owned = shared_.ownership.find(forwarded.target);
+    if (!is_opening_packet && owned != nullptr &&
+        owned->acquired_by == membership::origin::handed_over) {
         in_doubt_until = std::max(in_doubt_until, now + records::max_request_lifetime);
     }
     // A late copy of an opening may reach the successor of the owner that opened the flow. If the
     // successor treated the flow as new, it would run copies of requests that have already run.
-    // Only the home can mark a flow as new, after querying every candidate (flows/lookup).
-    record.in_doubt_until = content.is_new ? 0 : to_milliseconds(in_doubt_until);
+    // Only the home marks a flow as new: after a lookup that did not find it (flows/lookup), or
+    // without a lookup if it has been the home of the flow for longer than flows::opening_lifetime.
+    record.in_doubt_until = forwarded.is_new ? 0 : to_milliseconds(in_doubt_until);
     auto& added = shared_.flows.put(
-        record, is_open ? flows::flow_state::opening : flows::flow_state::established, now);
+        record, is_opening_packet ? flows::flow_state::opening : flows::flow_state::established,
+        now);
     added.home_id = flows::home_id_of({.self = shared_.self,
                                        .configuration = shared_.configuration,
                                        .peers = shared_.peers,
                                        .ownership = shared_.ownership,
                                        .flows = shared_.flows,
                                        .out = shared_.out},
-                                      content.service_name, key, now);
-    ++shared_.loads[content.target].connections;
-    if (!is_open) {
-        shared_.loads[content.target].inherited.on_recovered();
+                                      forwarded.service_name, key, now);
+    ++shared_.loads[forwarded.target].connections;
+    if (!is_opening_packet) {
+        shared_.loads[forwarded.target].inherited.on_recovered();
         ++shared_.counts.flows_recovered;
     }
     return added;
 }
 
-void target_owner::forward_to_target(const configuration::target& target, wire::forward content,
+void target_owner::forward_to_target(const configuration::target& target, wire::forward forwarded,
                                      clock::time_point now) {
-    ensure_flow(content, now);
-    shared_.out.send_target(target, std::move(content.content));
+    ensure_flow(forwarded, now);
+    shared_.out.send_target(target, std::move(forwarded.content));
 }
 
-void target_owner::accept_request(const configuration::target& target, wire::forward content,
+void target_owner::accept_request(const configuration::target& target, wire::forward forwarded,
                                   clock::time_point now) {
-    const auto id = id_of(content.content);
+    const auto id = id_of(forwarded.content);
     if (auto* existing = shared_.requests.find(id)) {
-        if (!is_number_reused(*existing, content.content)) {
-            resend_outcome(*existing, content.content, now);
+        if (!is_number_reused(*existing, forwarded.content)) {
+            resend_outcome(*existing, forwarded.content, now);
             return;
         }
         shared_.requests.erase(id);
     }
     // Without a record, a later copy could run, so the request must not be reported as not run.
-    if (!shared_.requests.has_capacity(id.flow, content.content.payload.size())) {
-        shared_.out.answer_unknown(content.content, result_code::too_many_requests);
+    if (!shared_.requests.has_capacity(id.flow, forwarded.content.payload.size())) {
+        shared_.out.answer_unknown(forwarded.content, result_code::too_many_requests);
         return;
     }
-    const auto in_doubt_until = to_time_point(ensure_flow(content, now).record.in_doubt_until);
-    auto& added = shared_.requests.add(id, std::move(content.content), target.name, now);
+    const auto in_doubt_until = to_time_point(ensure_flow(forwarded, now).record.in_doubt_until);
+    auto& added = shared_.requests.add(id, std::move(forwarded.content), target.name, now);
     // This long after the deadline, the record of an earlier copy may have expired.
     const bool is_stale = now >= added.deadline + records::max_request_lifetime;
     added.may_have_run = now < in_doubt_until || is_stale;
     if (added.may_have_run && !is_repeatable(added.content)) {
-        reject(added, result_code::outcome_unknown, clock::duration{0}, now);
+        // may_have_run is set, so refuse() reports the request as unknown whatever the code is.
+        refuse(added, result_code::outcome_unknown, clock::duration{0}, now);
         return;
     }
     if (added.deadline <= now) {
-        reject(added, result_code::deadline_too_near, clock::duration{0}, now);
+        refuse(added, result_code::deadline_too_near, clock::duration{0}, now);
         return;
     }
     auto& load = shared_.loads[target.name];
@@ -233,19 +237,19 @@
         if (shared_.peers.holds_lease(now)) {
             dispatch(target, added, now);
         } else {
-            load::requeue(load, work_of(added, load), now);
+            load::enqueue_admitted(load, work_of(added, load), now);
         }
     } else if (const auto* refused = std::get_if<load::refusal>(&decision)) {
-        apply_rejection(*refused, now);
+        apply_refusal(*refused, now);
     } else if (const auto& evicted = std::get<load::wait_for_slot>(decision).evicted) {
-        apply_rejection(*evicted, now);
+        apply_refusal(*evicted, now);
     }
 }
 
-void target_owner::apply_rejection(const load::refusal& refused, clock::time_point now) {
+void target_owner::apply_refusal(const load::refusal& refused, clock::time_point now) {
     auto* record = shared_.requests.find(refused.id);
     if (record != nullptr && record->state == request_state::waiting) {
-        reject(*record, refused.code, refused.retry_after, now);
+        refuse(*record, refused.code, refused.retry_after, now);
     }
 }
 
@@ -261,9 +265,11 @@
     }
 }
 
-// The only function that reports a request as not run. That is true of a request that waits or that
-// the target has shed, unless an earlier owner may have dispatched it.
-void target_owner::reject(request& record, result_code code, clock::duration retry_after,
+// Refuses a request: this owner does not run it. It is reported to the caller as not run, which is
+// true of a request that waits or that the target has shed. If an earlier owner may have dispatched
+// it, it is reported as unknown instead, and `code` and `retry_after` are ignored.
+// record_early_cancel also stores the outcome `refused`, for a request that has not arrived yet.
+void target_owner::refuse(request& record, result_code code, clock::duration retry_after,
                           clock::time_point now) {
     if (record.may_have_run) {
         end_request(record,
@@ -271,9 +277,9 @@
                     now);
         return;
     }
-    auto rejection = reply_to(record.content, packet_kind::refused, code);
-    rejection.come_back_ms = static_cast<std::int32_t>(retry_after.count());
-    end_request(record, std::move(rejection), now);
+    auto reply = reply_to(record.content, packet_kind::refused, code);
+    reply.come_back_ms = static_cast<std::int32_t>(retry_after.count());
+    end_request(record, std::move(reply), now);
 }
 
 void target_owner::dispatch(const configuration::target& target, request& record,
@@ -281,7 +287,7 @@
     // The process may have been paused while the request was queued. Checking the deadline right
     // before sending keeps a resumed process from dispatching an expired request.
     if (now >= record.deadline) {
-        reject(record, result_code::deadline_too_near, clock::duration{0}, now);
+        refuse(record, result_code::deadline_too_near, clock::duration{0}, now);
         return;
     }
     shared_.requests.dispatch(record, static_cast<std::int64_t>(++last_dispatch_number_));
@@ -297,11 +303,11 @@
     auto& load = shared_.loads[target.name];
     if (!shared_.configuration.is_zone_in(target.zone)) {
         load.cold.on_out_of_service(now);
-        reject_waiting(load, now);
+        refuse_waiting(load, now);
         return;
     }
     for (const auto& refused : load::take_infeasible(target, load, now)) {
-        apply_rejection(refused, now);
+        apply_refusal(refused, now);
     }
     if (load.queue.empty() || !shared_.peers.holds_lease(now)) {
         return;
@@ -340,15 +346,15 @@
     shared_.loads[std::string{target}].slots_in_use = shared_.requests.slots_held_on(target);
 }
 
-void target_owner::cancel_request(const configuration::target& target, wire::forward content,
+void target_owner::cancel_request(const configuration::target& target, wire::forward forwarded,
                                   clock::time_point now) {
-    auto* existing = shared_.requests.find(id_of(content.content));
+    auto* existing = shared_.requests.find(id_of(forwarded.content));
     if (existing == nullptr) {
-        record_early_cancel(target, content, now);
+        record_early_cancel(target, forwarded, now);
         return;
     }
     if (existing->state == request_state::waiting) {
-        reject(*existing, result_code::cancelled, clock::duration{0}, now);
+        refuse(*existing, result_code::cancelled, clock::duration{0}, now);
         return;
     }
     if (existing->state == request_state::ended) {
@@ -359,36 +365,36 @@
         return;
     }
     // The slot stays in use until the target reports the end of the request or the deadline passes.
-    content.content.dispatch = existing->dispatch;
-    shared_.out.send_target(target, std::move(content.content));
+    forwarded.content.dispatch = existing->dispatch;
+    shared_.out.send_target(target, std::move(forwarded.content));
 }
 
 // A cancellation can overtake its request, which would then run although the caller has abandoned
 // it. The cancellation is recorded as the outcome that the request finds when it arrives. No reply
 // is sent now: the record of a request that ran may have expired, and "not run" would be false.
 void target_owner::record_early_cancel(const configuration::target& target,
-                                       const wire::forward& content, clock::time_point now) {
-    const auto id = id_of(content.content);
+                                       const wire::forward& forwarded, clock::time_point now) {
+    const auto id = id_of(forwarded.content);
     const auto* flow = shared_.flows.find(id.flow);
     if (flow == nullptr || !shared_.requests.has_capacity(id.flow, 0)) {
         return;
     }
-    auto& added = shared_.requests.add(id, content.content, target.name, now);
+    auto& added = shared_.requests.add(id, forwarded.content, target.name, now);
     added.fingerprint = records::unknown_fingerprint;
     added.may_have_run = to_milliseconds(now) < flow->record.in_doubt_until;
     const auto kind = added.may_have_run ? packet_kind::unknown : packet_kind::refused;
-    shared_.requests.end(added, reply_to(content.content, kind, result_code::cancelled), now);
+    shared_.requests.end(added, reply_to(forwarded.content, kind, result_code::cancelled), now);
 }
 
-void target_owner::close_flow(const configuration::target& target, wire::forward content,
+void target_owner::close_flow(const configuration::target& target, wire::forward forwarded,
                               clock::time_point now) {
-    const auto key = routing::key_of(content.content);
-    shared_.out.send_target(target, std::move(content.content));
+    const auto key = routing::key_of(forwarded.content);
+    shared_.out.send_target(target, std::move(forwarded.content));
     for (const auto number : shared_.requests.numbers_of(key)) {
         auto& record = *shared_.requests.find({key, number});
         record.is_flow_closed = true;
         if (record.state == request_state::waiting) {
-            reject(record, result_code::cancelled, clock::duration{0}, now);
+            refuse(record, result_code::cancelled, clock::duration{0}, now);
         }
     }
     flows::erase_flow(shared_.flows, shared_.loads, key);
--- a/libraries/requests/target_owner.h
+++ b/libraries/requests/target_owner.h
@@ -41,7 +41,7 @@
 
     // Handles a packet for a flow on an owned target, forwarded by the flow's home or, after a
     // hand-over, by an earlier owner.
-    void handle(wire::forward content, clock::time_point now);
+    void handle(wire::forward forwarded, clock::time_point now);
     void on_target_packet(std::string_view address, const wire::packet& content,
                           clock::time_point now);
     void on_tick(clock::time_point now);
@@ -57,15 +57,15 @@
     using handler = void (target_owner::*)(const configuration::target&, wire::forward,
                                            clock::time_point);
 
-    void open_flow(const configuration::target& target, wire::forward content,
+    void open_flow(const configuration::target& target, wire::forward forwarded,
                    clock::time_point now);
-    void forward_to_target(const configuration::target& target, wire::forward content,
+    void forward_to_target(const configuration::target& target, wire::forward forwarded,
                            clock::time_point now);
-    void accept_request(const configuration::target& target, wire::forward content,
+    void accept_request(const configuration::target& target, wire::forward forwarded,
                         clock::time_point now);
-    void cancel_request(const configuration::target& target, wire::forward content,
+    void cancel_request(const configuration::target& target, wire::forward forwarded,
                         clock::time_point now);
-    void close_flow(const configuration::target& target, wire::forward content,
+    void close_flow(const configuration::target& target, wire::forward forwarded,
                     clock::time_point now);
 
     using target_handler = void (target_owner::*)(const configuration::target&, const wire::packet&,
@@ -83,22 +83,22 @@
     void on_report(const configuration::target& target, const wire::packet& content,
                    clock::time_point now);
 
-    flows::flow& ensure_flow(const wire::forward& content, clock::time_point now);
+    flows::flow& ensure_flow(const wire::forward& forwarded, clock::time_point now);
     void resend_outcome(request& existing, const wire::packet& copy, clock::time_point now);
-    void reject(request& record, result_code code, clock::duration retry_after,
+    void refuse(request& record, result_code code, clock::duration retry_after,
                 clock::time_point now);
     void dispatch(const configuration::target& target, request& record, clock::time_point now);
     void recount_load(const configuration::target& target, clock::time_point now);
-    void apply_rejection(const load::refusal& refused, clock::time_point now);
+    void apply_refusal(const load::refusal& refused, clock::time_point now);
     void dispatch_waiting(const configuration::target& target, clock::time_point now);
     void end_request(request& record, wire::packet outcome, clock::time_point now);
     void reply_zone_out_of_service(const wire::packet& content, clock::time_point now);
-    void reject_waiting(load::target_load& load, clock::time_point now);
-    void retry_or_reject(const configuration::target& target, request& record,
+    void refuse_waiting(load::target_load& load, clock::time_point now);
+    void retry_or_refuse(const configuration::target& target, request& record,
                          std::int32_t retry_after_ms, clock::time_point now);
     void end_after_reset(request& record, clock::time_point now);
     void expire(request& record, clock::time_point now);
-    void record_early_cancel(const configuration::target& target, const wire::forward& content,
+    void record_early_cancel(const configuration::target& target, const wire::forward& forwarded,
                              clock::time_point now);
     void on_predecessor_answer(const configuration::target& target, const wire::packet& content,
                                clock::time_point now);
--- a/libraries/requests/target_owner_replies.cpp
+++ b/libraries/requests/target_owner_replies.cpp
@@ -130,14 +130,14 @@
     if (!is_of_last_dispatch) {
         return;
     }
-    free_slot(*record, load::run_outcome::not_run, now);
+    free_slot(*record, load::run_outcome::unmeasured, now);
     auto& load = shared_.loads[target.name];
     // While requests of an earlier owner may hold slots, a shed doesn't indicate a cold target.
     if (load.assumed_slots == 0 && load.cold.on_shed(now)) {
         log_cold_start(target, "shed");
     }
     if (record->state == request_state::dispatched) {
-        retry_or_reject(target, *record, content.come_back_ms, now);
+        retry_or_refuse(target, *record, content.come_back_ms, now);
     }
     dispatch_waiting(target, now);
 }
@@ -145,16 +145,16 @@
 // Called for a request that the target has shed, i.e. not run. A repeatable request is queued again
 // if other requests of this owner are running on the target: the end of one of them shows that the
 // target accepts work again. Without any, it would be dispatched and shed again immediately.
-void target_owner::retry_or_reject(const configuration::target& target, request& record,
+void target_owner::retry_or_refuse(const configuration::target& target, request& record,
                                    std::int32_t retry_after_ms, clock::time_point now) {
     auto& load = shared_.loads[target.name];
     const bool may_retry = is_repeatable(record.content) && record.attempts < records::max_attempts;
     if (may_retry && load.slots_in_use > 0) {
         shared_.requests.requeue(record);
-        load::requeue(load, work_of(record, load), now);
+        load::enqueue_admitted(load, work_of(record, load), now);
         return;
     }
-    reject(record, result_code::shed_by_target,
+    refuse(record, result_code::shed_by_target,
            clock::duration{std::max(retry_after_ms, std::int32_t{1})}, now);
 }
 
@@ -201,7 +201,7 @@
 // run or may still be running: its outcome is unknown and its slot stays in use.
 void target_owner::end_after_reset(request& record, clock::time_point now) {
     if (record.state == request_state::waiting) {
-        reject(record, result_code::unknown_flow, clock::duration{0}, now);
+        refuse(record, result_code::unknown_flow, clock::duration{0}, now);
     } else if (record.state == request_state::dispatched) {
         end_request(record,
                     reply_to(record.content, packet_kind::unknown, result_code::outcome_unknown),
--- a/libraries/requests/target_owner_upkeep.cpp
+++ b/libraries/requests/target_owner_upkeep.cpp
@@ -51,7 +51,7 @@
     // yet. Unless they are queued, their callers get no answer until the deadline.
     load.queue.take_all();
     for (const auto& id : shared_.requests.waiting_on(target.name)) {
-        load::requeue(load, work_of(*shared_.requests.find(id), load), now);
+        load::enqueue_admitted(load, work_of(*shared_.requests.find(id), load), now);
     }
 }
 
@@ -85,7 +85,7 @@
 
 void target_owner::expire(request& record, clock::time_point now) {
     if (record.state == request_state::waiting) {
-        reject(record, result_code::deadline_too_near, clock::duration{0}, now);
+        refuse(record, result_code::deadline_too_near, clock::duration{0}, now);
         return;
     }
     const bool was_running = record.holds_slot;
