--- a/libraries/flows/flow_query_responder.h
+++ b/libraries/flows/flow_query_responder.h
@@ -54,7 +54,7 @@
 private:
     struct pending_probe {
         std::string requester;
-        wire::forward content;
+        wire::forward forwarded;
         clock::time_point since;
     };
     struct delegated_opening {
@@ -62,12 +62,12 @@
         clock::time_point since;
     };
 
-    bool is_ruled_out(const wire::forward& content, clock::time_point now) const;
-    void probe_target(std::string_view requester, const wire::forward& content,
+    bool is_ruled_out(const wire::forward& forwarded, clock::time_point now) const;
+    void probe_target(std::string_view requester, const wire::forward& forwarded,
                       clock::time_point now);
-    void reply(std::string_view requester, const wire::forward& content, bool is_certain,
+    void reply(std::string_view requester, const wire::forward& forwarded, bool is_certain,
                clock::time_point now);
-    void reply_with_target(std::string_view requester, const wire::forward& content,
+    void reply_with_target(std::string_view requester, const wire::forward& forwarded,
                            std::string_view target, clock::time_point now);
 
     shared_state shared_;
--- a/libraries/flows/home.cpp
+++ b/libraries/flows/home.cpp
@@ -13,8 +13,9 @@
 // A placement attempt that is older than this is restarted by the caller's next copy of the opening
 // packet.
 constexpr clock::duration placement_timeout{5'000};
-// Retry-After when no candidate has capacity: targets free connections within seconds.
-constexpr clock::duration no_capacity_retry_after{2'000};
+// Retry-After when no candidate is eligible: all are full, draining or without an owner, or there
+// is none. Targets free connections within seconds.
+constexpr clock::duration no_candidate_retry_after{2'000};
 
 }  // namespace
 
@@ -45,48 +46,49 @@
 
 // If a caller closes its flow while the answer to its request is lost, the copy of the request
 // finds no flow and would be answered "unknown". The owner's request record outlives the flow and
-// has the answer.
-const records::request* home::find_request(const wire::packet& content) const {
+// has the answer. Only the records of this instance are searched, so this helps only if it also
+// owns the target of the request.
+const records::request* home::find_local_request(const wire::packet& content) const {
     const bool is_about_request =
         content.kind == wire::packet_kind::request || content.kind == wire::packet_kind::cancel;
     return is_about_request ? shared_.requests.find({routing::key_of(content), content.request})
                             : nullptr;
 }
 
-void home::handle(wire::forward content, clock::time_point now) {
-    const auto key = routing::key_of(content.content);
+void home::handle(wire::forward forwarded, clock::time_point now) {
+    const auto key = routing::key_of(forwarded.content);
     const auto* existing = shared_.flows.find(key);
-    if (existing != nullptr && !is_same_flow(*existing, content.content)) {
-        shared_.out.drop(content.content, result_code::wrong_service);
+    if (existing != nullptr && !is_same_flow(*existing, forwarded.content)) {
+        shared_.out.drop(forwarded.content, result_code::wrong_service);
         return;
     }
     const auto target = existing != nullptr ? existing->record.target : shared_.locations.find(key);
-    const bool is_open = content.content.kind == wire::packet_kind::open;
-    if (is_open && belongs_to_other_service(target, content.service_name)) {
+    const bool is_opening_packet = forwarded.content.kind == wire::packet_kind::open;
+    if (is_opening_packet && belongs_to_other_service(target, forwarded.service_name)) {
         // The address has been reassigned to another service since the flow with this number was
         // opened.
         erase_flow(shared_.flows, shared_.loads, key);
         shared_.locations.erase(key);
-        open(std::move(content), now);
+        open(std::move(forwarded), now);
         return;
     }
     if (target.empty()) {
-        if (is_open) {
-            open(std::move(content), now);
-        } else if (const auto* request = find_request(content.content)) {
-            content.target = request->target;
-            path_.to_owner(std::move(content), now);
+        if (is_opening_packet) {
+            open(std::move(forwarded), now);
+        } else if (const auto* request = find_local_request(forwarded.content)) {
+            forwarded.target = request->target;
+            path_.to_owner(std::move(forwarded), now);
         } else {
-            lookup_.start(std::move(content), now);
+            lookup_.start(std::move(forwarded), now);
         }
         return;
     }
-    content.target = target;
+    forwarded.target = target;
     shared_.locations.touch(key, now);
-    if (content.content.kind == wire::packet_kind::close) {
+    if (forwarded.content.kind == wire::packet_kind::close) {
         shared_.locations.erase(key);
     }
-    path_.to_owner(std::move(content), now);
+    path_.to_owner(std::move(forwarded), now);
 }
 
 bool home::belongs_to_other_service(std::string_view target, std::string_view service) const {
@@ -94,36 +96,36 @@
     return found != nullptr && found->service != service;
 }
 
-void home::place(wire::forward content, clock::time_point now) {
-    const auto key = routing::key_of(content.content);
+void home::place(wire::forward forwarded, clock::time_point now) {
+    const auto key = routing::key_of(forwarded.content);
     auto& attempt = placement_attempts_[key];
     if (now - attempt.since >= placement_timeout) {
         attempt = {.declined = {}, .since = now};
         placement_attempt_order_.push_back(key);
     }
-    content.target = choose_target(content, attempt, now);
-    if (content.target.empty()) {
+    forwarded.target = choose_target(forwarded, attempt, now);
+    if (forwarded.target.empty()) {
         placement_attempts_.erase(key);
         shared_.out.log(log_event{"flow_refused"}
-                            .with("service", content.service_name)
-                            .with("member", content.content.member)
-                            .with("reason", "no candidate has capacity"));
-        shared_.out.refuse(content.content, result_code::no_eligible_target,
-                           no_capacity_retry_after);
+                            .with("service", forwarded.service_name)
+                            .with("member", forwarded.content.member)
+                            .with("reason", "no eligible candidate"));
+        shared_.out.refuse(forwarded.content, result_code::no_eligible_target,
+                           no_candidate_retry_after);
         return;
     }
-    record_location(key, content.target, now);
-    content.is_new = true;
-    if (shared_.ownership.find(content.target) == nullptr) {
-        shared_.placements.record_placement(content.target);
+    record_location(key, forwarded.target, now);
+    forwarded.is_new = true;
+    if (shared_.ownership.find(forwarded.target) == nullptr) {
+        shared_.placements.record_placement(forwarded.target);
     }
-    path_.to_owner(std::move(content), now);
+    path_.to_owner(std::move(forwarded), now);
 }
 
-std::string home::choose_target(const wire::forward& content, const placement_attempt& attempt,
+std::string home::choose_target(const wire::forward& forwarded, const placement_attempt& attempt,
                                 clock::time_point now) const {
-    const auto targets = routing::candidates_of(shared_.configuration, content.service_name,
-                                                routing::key_of(content.content));
+    const auto targets = routing::candidates_of(shared_.configuration, forwarded.service_name,
+                                                routing::key_of(forwarded.content));
     std::vector<load::candidate> candidates;
     for (const auto* target : targets) {
         load::candidate each;
@@ -178,9 +180,9 @@
 // A copy of the opening packet may have been handled by an earlier home of the flow; placing the
 // flow again would open it at two targets. An instance that has been the home for less than
 // opening_lifetime therefore runs a lookup first.
-bool home::may_be_open(const wire::forward& content, clock::time_point now) const {
-    const auto key = routing::key_of(content.content);
-    const auto targets = routing::candidates_of(shared_.configuration, content.service_name, key);
+bool home::may_exist_already(const wire::forward& forwarded, clock::time_point now) const {
+    const auto key = routing::key_of(forwarded.content);
+    const auto targets = routing::candidates_of(shared_.configuration, forwarded.service_name, key);
     if (targets.empty()) {
         return false;
     }
@@ -192,23 +194,23 @@
         if (each.replaced && now - *each.replaced >= opening_lifetime) {
             return false;
         }
-        const auto before = routing::candidates_of(each.content, content.service_name, key);
+        const auto before = routing::candidates_of(each.content, forwarded.service_name, key);
         return !before.empty() && before.front()->name != targets.front()->name;
     });
 }
 
-void home::open(wire::forward content, clock::time_point now) {
+void home::open(wire::forward forwarded, clock::time_point now) {
     const auto other_home =
-        flow_query_responder_.home_delegated_to(routing::key_of(content.content), now);
+        flow_query_responder_.home_delegated_to(routing::key_of(forwarded.content), now);
     if (!other_home.empty()) {
-        forward_to_peer(other_home, std::move(content));
+        forward_to_peer(other_home, std::move(forwarded));
         return;
     }
-    if (may_be_open(content, now)) {
-        lookup_.start(std::move(content), now);
+    if (may_exist_already(forwarded, now)) {
+        lookup_.start(std::move(forwarded), now);
         return;
     }
-    place(std::move(content), now);
+    place(std::move(forwarded), now);
 }
 
 void home::send_query(const wire::flow_query& query, clock::time_point now) {
@@ -272,15 +274,15 @@
     path_.to_owner(std::move(held_packet), now);
 }
 
-void home::forward_to_peer(std::string_view peer, wire::forward content) {
-    if (++content.hops > entry::max_hops) {
-        shared_.out.drop(content.content, result_code::too_many_hops);
+void home::forward_to_peer(std::string_view peer, wire::forward forwarded) {
+    if (++forwarded.hops > entry::max_hops) {
+        shared_.out.drop(forwarded.content, result_code::too_many_hops);
         return;
     }
-    content.role = wire::forward_role::to_home;
+    forwarded.role = wire::forward_role::to_home;
     ++shared_.counts.packets_forwarded;
     wire::peer_message message;
-    message.__set_forwarded(content);
+    message.__set_forwarded(forwarded);
     shared_.out.send_peer(peer, std::move(message));
 }
 
@@ -298,8 +300,9 @@
     shared_.out.send_peer(sender, std::move(message));
 }
 
-// Local records take precedence over a peer's report, because the report is derived from an owner's
-// record.
+// No location is stored for a flow that has a flow record here or whose target this instance owns:
+// the flow record of an owned target already gives the location. A peer's report of a location is
+// derived from such a record, so the local record takes precedence.
 void home::record_location(routing::flow_key key, std::string_view target, clock::time_point now) {
     if (shared_.flows.find(key) == nullptr && shared_.ownership.find(target) == nullptr) {
         shared_.locations.put(key, target, now);
--- a/libraries/flows/home.h
+++ b/libraries/flows/home.h
@@ -1,5 +1,5 @@
-// The home of a flow chooses its target when the flow is opened, and routes its later packets to
-// that target.
+// The home of a flow is the owner of the first candidate of the flow's key. It chooses the flow's
+// target when the flow is opened, and routes its later packets to that target.
 #pragma once
 
 #include <deque>
@@ -52,7 +52,7 @@
     home& operator=(const home&) = delete;
 
     // Handles a packet that has reached its flow's home.
-    void handle(wire::forward content, clock::time_point now);
+    void handle(wire::forward forwarded, clock::time_point now);
     void on_declined(const wire::placement_declined& declined, clock::time_point now);
     void on_query(std::string_view sender, const wire::flow_query& query, clock::time_point now);
     void on_query_answer(const wire::flow_query_answer& answer, clock::time_point now);
@@ -64,24 +64,27 @@
     void on_tick(clock::time_point now);
 
 private:
-    const records::request* find_request(const wire::packet& content) const;
+    // Searches the request records of this instance only.
+    const records::request* find_local_request(const wire::packet& content) const;
     struct placement_attempt {
-        std::set<std::string, std::less<>> declined;  // targets that had no capacity
+        std::set<std::string, std::less<>> declined;  // targets whose owners declined the flow
         clock::time_point since;
     };
 
-    void place(wire::forward content, clock::time_point now);
-    void open(wire::forward content, clock::time_point now);
+    void place(wire::forward forwarded, clock::time_point now);
+    void open(wire::forward forwarded, clock::time_point now);
     void send_query(const wire::flow_query& query, clock::time_point now);
     void on_lookup_result(wire::forward held_packet, const std::optional<std::string>& target,
                           clock::time_point now);
-    bool may_be_open(const wire::forward& content, clock::time_point now) const;
+    // Whether an earlier home may have opened the flow, so that a lookup must precede its
+    // placement.
+    bool may_exist_already(const wire::forward& forwarded, clock::time_point now) const;
     void expire_idle_flows(clock::time_point now);
     void expire_placement_attempts(clock::time_point now);
-    void forward_to_peer(std::string_view peer, wire::forward content);
+    void forward_to_peer(std::string_view peer, wire::forward forwarded);
     bool belongs_to_other_service(std::string_view target, std::string_view service) const;
     void record_location(routing::flow_key key, std::string_view target, clock::time_point now);
-    std::string choose_target(const wire::forward& content, const placement_attempt& attempt,
+    std::string choose_target(const wire::forward& forwarded, const placement_attempt& attempt,
                               clock::time_point now) const;
 
     shared_state shared_;
--- a/libraries/flows/lookup.cpp
+++ b/libraries/flows/lookup.cpp
@@ -23,26 +23,26 @@
 constexpr clock::duration lookup_timeout{3'000};
 constexpr clock::duration retry_after{1'000};
 
-bool is_open(const wire::forward& content) {
-    return content.content.kind == packet_kind::open;
+bool is_opening_packet(const wire::forward& forwarded) {
+    return forwarded.content.kind == packet_kind::open;
 }
 
 }  // namespace
 
-void lookup::start(wire::forward content, clock::time_point now) {
-    const auto key = routing::key_of(content.content);
+void lookup::start(wire::forward forwarded, clock::time_point now) {
+    const auto key = routing::key_of(forwarded.content);
     if (lookups_.contains(key)) {
-        shared_.out.drop(content.content, result_code::flow_in_doubt);
+        shared_.out.drop(forwarded.content, result_code::flow_in_doubt);
         return;
     }
     if (lookups_.size() >= max_lookups) {
-        fail_packet(content);
+        fail_packet(forwarded);
         return;
     }
     pending_lookup added;
-    added.undecided = candidates(content);
+    added.undecided = candidates(forwarded);
     added.configuration_version = shared_.configuration.version;
-    added.held_packet = std::move(content);
+    added.held_packet = std::move(forwarded);
     added.started_at = now;
     added.stage_started_at = now;
     lookups_.emplace(key, std::move(added));
@@ -50,11 +50,11 @@
     evaluate(key, now);
 }
 
-std::vector<lookup::candidate> lookup::candidates(const wire::forward& content) const {
+std::vector<lookup::candidate> lookup::candidates(const wire::forward& forwarded) const {
     std::vector<candidate> result;
-    add_candidates(shared_.configuration, content, result);
+    add_candidates(shared_.configuration, forwarded, result);
     for (const auto& each : shared_.previous.all()) {
-        add_candidates(each.content, content, result);
+        add_candidates(each.content, forwarded, result);
     }
     return result;
 }
@@ -63,11 +63,13 @@
 // targets of the new service only: the flow would end, or its packets would reach a target of
 // another service. So the service that had the address under `configuration` is included.
 void lookup::add_candidates(const configuration::configuration& configuration,
-                            const wire::forward& content, std::vector<candidate>& result) const {
-    const auto key = routing::key_of(content.content);
-    const auto* at_address = configuration.find_service_by_address(content.content.service_address);
-    std::vector<std::string_view> services{content.service_name};
-    if (at_address != nullptr && at_address->name != content.service_name && !is_open(content)) {
+                            const wire::forward& forwarded, std::vector<candidate>& result) const {
+    const auto key = routing::key_of(forwarded.content);
+    const auto* at_address =
+        configuration.find_service_by_address(forwarded.content.service_address);
+    std::vector<std::string_view> services{forwarded.service_name};
+    if (at_address != nullptr && at_address->name != forwarded.service_name &&
+        !is_opening_packet(forwarded)) {
         services.emplace_back(at_address->name);
     }
     for (const auto service : services) {
@@ -134,7 +136,7 @@
     }
     if (state.undecided.empty()) {
         state.ruled_out_at = state.ruled_out_at.value_or(now);
-        if (is_open(state.held_packet) || now - *state.ruled_out_at >= reset_delay) {
+        if (is_opening_packet(state.held_packet) || now - *state.ruled_out_at >= reset_delay) {
             finish(key, std::nullopt, now);
         }
         return;
@@ -148,7 +150,7 @@
         }
         return;
     }
-    const bool is_last = state.undecided.size() == 1 && !is_open(state.held_packet);
+    const bool is_last = state.undecided.size() == 1 && !is_opening_packet(state.held_packet);
     if (is_last && now - *state.targets_probed_at >= probe_timeout) {
         finish(key, state.undecided.front().target, now);
     }
@@ -156,7 +158,7 @@
 
 bool lookup::query_remaining_targets(routing::flow_key key, clock::time_point now) {
     auto& state = lookups_.at(key);
-    if (is_open(state.held_packet) || !state.queried_targets.empty()) {
+    if (is_opening_packet(state.held_packet) || !state.queried_targets.empty()) {
         return false;
     }
     for (const auto& each : candidates(state.held_packet)) {
@@ -197,7 +199,7 @@
         const bool is_changed = state.configuration_version != shared_.configuration.version;
         // If a zone is taken out during the lookup of a copy of an opening packet, the target that
         // holds the flow is no longer a candidate, and the flow would be opened at a second target.
-        if (is_changed && is_open(state.held_packet)) {
+        if (is_changed && is_opening_packet(state.held_packet)) {
             fail_packet(state.held_packet);
             lookups_.erase(key);
             continue;
@@ -228,19 +230,19 @@
 }
 
 // A request that the previous owner dispatched may have run, so its outcome is unknown.
-void lookup::fail_packet(const wire::forward& content) {
-    if (is_open(content)) {
-        shared_.out.refuse(content.content, result_code::flow_in_doubt, retry_after);
-    } else if (content.content.kind == packet_kind::request) {
-        shared_.out.answer_unknown(content.content, result_code::flow_in_doubt);
+void lookup::fail_packet(const wire::forward& forwarded) {
+    if (is_opening_packet(forwarded)) {
+        shared_.out.refuse(forwarded.content, result_code::flow_in_doubt, retry_after);
+    } else if (forwarded.content.kind == packet_kind::request) {
+        shared_.out.answer_unknown(forwarded.content, result_code::flow_in_doubt);
     } else {
-        shared_.out.drop(content.content, result_code::flow_in_doubt);
+        shared_.out.drop(forwarded.content, result_code::flow_in_doubt);
     }
 }
 
 bool lookup::is_opening(routing::flow_key key) const {
     const auto found = lookups_.find(key);
-    return found != lookups_.end() && is_open(found->second.held_packet);
+    return found != lookups_.end() && is_opening_packet(found->second.held_packet);
 }
 
 std::optional<wire::forward> lookup::abandon(routing::flow_key key) {
--- a/libraries/flows/lookup.h
+++ b/libraries/flows/lookup.h
@@ -54,7 +54,7 @@
     lookup(const shared_state& shared, query_callback send_query, result_callback on_result)
         : shared_{shared}, send_query_{std::move(send_query)}, on_result_{std::move(on_result)} {}
 
-    void start(wire::forward content, clock::time_point now);
+    void start(wire::forward forwarded, clock::time_point now);
     void on_answer(const wire::flow_query_answer& answer, clock::time_point now);
     void on_tick(clock::time_point now);
 
@@ -79,12 +79,12 @@
         std::optional<clock::time_point> ruled_out_at;  // when the last candidate was ruled out
     };
 
-    std::vector<candidate> candidates(const wire::forward& content) const;
+    std::vector<candidate> candidates(const wire::forward& forwarded) const;
     void add_candidates(const configuration::configuration& configuration,
-                        const wire::forward& content, std::vector<candidate>& result) const;
+                        const wire::forward& forwarded, std::vector<candidate>& result) const;
     void query_undecided(routing::flow_key key, clock::time_point now);
     void finish(routing::flow_key key, std::optional<std::string> target, clock::time_point now);
-    void fail_packet(const wire::forward& content);
+    void fail_packet(const wire::forward& forwarded);
     void evaluate(routing::flow_key key, clock::time_point now);
     // Starts the second stage with all other targets of the service; false if there are none.
     bool query_remaining_targets(routing::flow_key key, clock::time_point now);
