--- a/libraries/hand_over/hand_over_parts.cpp
+++ b/libraries/hand_over/hand_over_parts.cpp
@@ -25,7 +25,7 @@
 }
 
 // Without its payload, a waiting request would be dispatched empty by the receiver. It has not been
-// sent to the target, so it is rejected as not run; a dispatched one is not retried.
+// sent to the target, so it is refused as not run; a dispatched one is not retried.
 void drop_payload(wire::request_record& record) {
     auto& content = record.content;
     content.payload.clear();
--- a/libraries/hand_over/held_packets.cpp
+++ b/libraries/hand_over/held_packets.cpp
@@ -5,12 +5,12 @@
 
 namespace bramleytrack::hand_over {
 
-bool held_packets::hold(std::string_view target, wire::forward content) {
+bool held_packets::hold(std::string_view target, wire::forward forwarded) {
     auto& packets = held_[std::string{target}].forwards;
     if (packets.size() >= max_held_packets) {
         return false;
     }
-    packets.push_back(std::move(content));
+    packets.push_back(std::move(forwarded));
     return true;
 }
 
--- a/libraries/hand_over/held_packets.h
+++ b/libraries/hand_over/held_packets.h
@@ -1,5 +1,5 @@
-// Buffers packets for targets whose ownership is being moved, and releases them for routing when
-// the move has ended. Without it each move would drop the packets that arrive meanwhile, and
+// Buffers packets for targets that are being handed over, and releases them for routing when the
+// hand-over has ended. Without it each hand-over would drop the packets that arrive meanwhile, and
 // callers would have to retransmit them.
 #pragma once
 
@@ -13,7 +13,7 @@
 
 namespace bramleytrack::hand_over {
 
-// Maximum number of held packets of each kind per target; further ones are rejected, and callers
+// Maximum number of held packets of each kind per target; further ones are dropped, and callers
 // retransmit them.
 constexpr std::size_t max_held_packets = 4096;
 
@@ -25,10 +25,10 @@
 class held_packets {
 public:
     // Each returns false if max_held_packets are held already.
-    bool hold(std::string_view target, wire::forward content);
+    bool hold(std::string_view target, wire::forward forwarded);
     bool hold(std::string_view target, wire::packet content);
 
-    // To be called when the move of the target has ended.
+    // To be called when the hand-over of the target has ended.
     void release(std::string_view target);
     void release_all();
     // Packets released since the last call.
--- a/libraries/hand_over/membership_protocol.h
+++ b/libraries/hand_over/membership_protocol.h
@@ -1,12 +1,16 @@
 // Heartbeats, takeover and hand-over of targets between the instances of a zone.
 //
-// A move has four steps. The winner of the rendezvous hashing requests the target from the claimant
-// (ownership_wanted). The claimant stops serving the target, sends all records in parts, and holds
-// the packets that arrive meanwhile; it claims the target until every part is acknowledged, so that
-// no other instance takes it over. The receiver owns the target from the last part on and announces
-// it immediately. Then the held packets are forwarded. If the receiver fails or stops acknowledging
-// in between, the sender restores the records and treats the target as one that was taken over from
-// a dead owner.
+// A hand-over moves a target from its owner, the sender, to the instance that rendezvous hashing
+// selects, the receiver:
+// 1. The receiver requests the target from the sender (ownership_wanted).
+// 2. The sender stops serving the target, sends all records in parts, and holds the packets that
+//    arrive meanwhile. It claims the target in its heartbeats until the receiver has acknowledged
+//    every part, so that no other instance takes the target over.
+// 3. The receiver owns the target once it has all parts, and announces this immediately.
+// 4. The sender releases the held packets, which are forwarded to the receiver, once every part is
+//    acknowledged or it has received the receiver's claim.
+// If the receiver fails or stops acknowledging before step 4, the sender restores the records and
+// treats the target as one that was taken over from a dead owner.
 #pragma once
 
 #include <functional>
@@ -38,8 +42,9 @@
 // A planned leave ends after this time even if some targets have not been moved.
 constexpr clock::duration leave_timeout{30'000};
 
-// A leaving instance continues to forward packets for this long after the move of its last target:
-// answers to requests that it dispatched arrive at its address, and the fabric's list lags behind.
+// A leaving instance continues to forward packets for this long after handing over its last target:
+// answers to requests that it dispatched arrive at its address, and the platform's instance list
+// lags behind.
 constexpr clock::duration leave_forwarding_time =
     records::max_request_lifetime + records::deadline_grace;
 
@@ -86,7 +91,7 @@
     // True after a leaving instance has announced to its peers that it stops.
     bool may_stop() const { return has_announced_stop_; }
 
-    // Packets for targets that are being moved.
+    // Packets for targets that are being handed over.
     held_packets& held() { return held_; }
 
     // Returns true once after the homes of flows may have changed.
