--- a/libraries/entry/router.cpp
+++ b/libraries/entry/router.cpp
@@ -18,63 +18,63 @@
     forward_to_home(std::move(forwarded), now);
 }
 
-void router::forward_to_home(wire::forward content, clock::time_point now) {
-    const auto candidates = routing::candidates_of(shared_.configuration, content.service_name,
-                                                   routing::key_of(content.content));
+void router::forward_to_home(wire::forward forwarded, clock::time_point now) {
+    const auto candidates = routing::candidates_of(shared_.configuration, forwarded.service_name,
+                                                   routing::key_of(forwarded.content));
     if (candidates.empty()) {
-        fail_packet(content.content, result_code::no_eligible_target);
+        fail_packet(forwarded.content, result_code::no_eligible_target);
         return;
     }
     if (shared_.ownership.is_moving(candidates.front()->name)) {
-        path_.hold(candidates.front()->name, std::move(content));
+        path_.hold(candidates.front()->name, std::move(forwarded));
         return;
     }
     const auto home = shared_.ownership.owner_of(*candidates.front(), shared_.peers, now);
     if (home == shared_.self.name) {
-        path_.to_home(std::move(content), now);
+        path_.to_home(std::move(forwarded), now);
         return;
     }
     if (home.empty()) {
-        handle_missing_owner(candidates.front()->name, content.content, now);
+        handle_missing_owner(candidates.front()->name, forwarded.content, now);
         return;
     }
     ownerless_since_.erase(candidates.front()->name);
-    content.role = wire::forward_role::to_home;
-    forward_to_peer(std::move(content), home);
+    forwarded.role = wire::forward_role::to_home;
+    forward_to_peer(std::move(forwarded), home);
 }
 
-void router::forward_to_owner(wire::forward content, clock::time_point now) {
-    const auto* target = shared_.configuration.find_target(content.target);
+void router::forward_to_owner(wire::forward forwarded, clock::time_point now) {
+    const auto* target = shared_.configuration.find_target(forwarded.target);
     if (target == nullptr) {
-        fail_packet(content.content, result_code::unknown_flow);
+        fail_packet(forwarded.content, result_code::unknown_flow);
         return;
     }
     if (shared_.ownership.is_moving(target->name)) {
-        path_.hold(target->name, std::move(content));
+        path_.hold(target->name, std::move(forwarded));
         return;
     }
     const auto owner = shared_.ownership.owner_of(*target, shared_.peers, now);
     if (owner == shared_.self.name) {
-        path_.to_owner(std::move(content), now);
+        path_.to_owner(std::move(forwarded), now);
         return;
     }
     if (owner.empty()) {
-        handle_missing_owner(target->name, content.content, now);
+        handle_missing_owner(target->name, forwarded.content, now);
         return;
     }
     ownerless_since_.erase(target->name);
-    content.role = wire::forward_role::to_owner;
-    forward_to_peer(std::move(content), owner);
+    forwarded.role = wire::forward_role::to_owner;
+    forward_to_peer(std::move(forwarded), owner);
 }
 
-void router::forward_to_peer(wire::forward content, std::string_view peer) {
-    if (++content.hops > max_hops) {
-        shared_.out.drop(content.content, result_code::too_many_hops);
+void router::forward_to_peer(wire::forward forwarded, std::string_view peer) {
+    if (++forwarded.hops > max_hops) {
+        shared_.out.drop(forwarded.content, result_code::too_many_hops);
         return;
     }
     ++shared_.counts.packets_forwarded;
     wire::peer_message message;
-    message.__set_forwarded(content);
+    message.__set_forwarded(forwarded);
     shared_.out.send_peer(peer, std::move(message));
 }
 
--- a/libraries/entry/router.h
+++ b/libraries/entry/router.h
@@ -43,12 +43,12 @@
 
     void on_caller_packet(wire::packet content, clock::time_point now);
 
-    // Forwards `content` to the owner of its flow's first candidate, which may be this instance.
-    void forward_to_home(wire::forward content, clock::time_point now);
-    void forward_to_owner(wire::forward content, clock::time_point now);
+    // Forwards the packet to the owner of its flow's first candidate, which may be this instance.
+    void forward_to_home(wire::forward forwarded, clock::time_point now);
+    void forward_to_owner(wire::forward forwarded, clock::time_point now);
 
 private:
-    void forward_to_peer(wire::forward content, std::string_view peer);
+    void forward_to_peer(wire::forward forwarded, std::string_view peer);
     bool can_be_taken_over(const std::string& target, clock::time_point now) const;
     void handle_missing_owner(const std::string& target, const wire::packet& packet,
                               clock::time_point now);
--- a/libraries/instance/instance.cpp
+++ b/libraries/instance/instance.cpp
@@ -203,11 +203,11 @@
     }
 }
 
-void instance::on_forward(wire::forward content, clock::time_point now) {
-    if (content.role == wire::forward_role::to_owner) {
-        router_.forward_to_owner(std::move(content), now);
+void instance::on_forward(wire::forward forwarded, clock::time_point now) {
+    if (forwarded.role == wire::forward_role::to_owner) {
+        router_.forward_to_owner(std::move(forwarded), now);
     } else {
-        router_.forward_to_home(std::move(content), now);
+        router_.forward_to_home(std::move(forwarded), now);
     }
 }
 
@@ -234,21 +234,21 @@
     location_announcer_.on_tick(now);
 }
 
-void instance::to_home(wire::forward content, clock::time_point now) {
-    home_.handle(std::move(content), now);
+void instance::to_home(wire::forward forwarded, clock::time_point now) {
+    home_.handle(std::move(forwarded), now);
 }
 
-void instance::to_owner(wire::forward content, clock::time_point now) {
-    if (context_.ownership.find(content.target) != nullptr) {
-        target_owner_.handle(std::move(content), now);
+void instance::to_owner(wire::forward forwarded, clock::time_point now) {
+    if (context_.ownership.find(forwarded.target) != nullptr) {
+        target_owner_.handle(std::move(forwarded), now);
         return;
     }
-    router_.forward_to_owner(std::move(content), now);
+    router_.forward_to_owner(std::move(forwarded), now);
 }
 
-void instance::hold(std::string_view target, wire::forward content) {
-    if (!membership_.held().hold(target, content)) {
-        context_.out.drop(content.content, result_code::not_owner);
+void instance::hold(std::string_view target, wire::forward forwarded) {
+    if (!membership_.held().hold(target, forwarded)) {
+        context_.out.drop(forwarded.content, result_code::not_owner);
     }
 }
 
--- a/libraries/instance/instance.h
+++ b/libraries/instance/instance.h
@@ -42,12 +42,12 @@
     const context& state() const { return context_; }
 
 private:
-    void to_home(wire::forward content, clock::time_point now) override;
-    void to_owner(wire::forward content, clock::time_point now) override;
-    void hold(std::string_view target, wire::forward content) override;
+    void to_home(wire::forward forwarded, clock::time_point now) override;
+    void to_owner(wire::forward forwarded, clock::time_point now) override;
+    void hold(std::string_view target, wire::forward forwarded) override;
     void decline(const wire::placement_declined& declined, clock::time_point now) override;
     bool is_baseline() const { return context_.self.strategy == routing_strategy::plain_hashing; }
-    void on_forward(wire::forward content, clock::time_point now);
+    void on_forward(wire::forward forwarded, clock::time_point now);
     // Routes a target's packet to the owner of the target, whichever instance receives it.
     void route_target_packet(const configuration::target& target, const wire::packet& content,
                              clock::time_point now);
--- a/libraries/outbox/packet_path.h
+++ b/libraries/outbox/packet_path.h
@@ -16,10 +16,10 @@
     packet_path& operator=(const packet_path&) = delete;
     virtual ~packet_path() = default;
 
-    virtual void to_home(wire::forward content, clock::time_point now) = 0;
-    virtual void to_owner(wire::forward content, clock::time_point now) = 0;
-    // Holds `content` until the new owner of `target` is known, as the owner is about to change.
-    virtual void hold(std::string_view target, wire::forward content) = 0;
+    virtual void to_home(wire::forward forwarded, clock::time_point now) = 0;
+    virtual void to_owner(wire::forward forwarded, clock::time_point now) = 0;
+    // Holds `forwarded` until the new owner of `target` is known, as the owner is about to change.
+    virtual void hold(std::string_view target, wire::forward forwarded) = 0;
     virtual void decline(const wire::placement_declined& declined, clock::time_point now) = 0;
 };
 
