--- a/libraries/distribution/configuration_sync.cpp
+++ b/libraries/distribution/configuration_sync.cpp
@@ -12,8 +12,10 @@
 namespace {
 
 constexpr std::size_t max_rejected = 16;
-// Parts follow each other within a round trip. A lost request or part is requested again after
-// request_retry_interval, and from another peer after peer_timeout.
+// Parts follow each other within a round trip. A transfer without progress for
+// request_retry_interval is requested again on the next heartbeat of the same peer that announces a
+// newer text. Each such repetition restarts the time-out, so another peer is used only once the
+// first one has sent neither such heartbeats nor parts for peer_timeout.
 constexpr clock::duration request_retry_interval{300};
 constexpr clock::duration peer_timeout{1'000};
 
@@ -38,6 +40,8 @@
         return false;
     }
     if (version == current.version) {
+        // Logged before the text is validated: if activate() rejects it, configuration_refused
+        // follows and the current text stays active.
         shared_.out.log(log_event{"configuration_replaced"}
                             .with("version", version)
                             .with("reason", "the store holds another text under this version"));
@@ -66,9 +70,10 @@
         is_rejected(version, digest)) {
         return;
     }
-    // If every peer with the newer text sent it at once, one change would cost eight whole texts.
-    // One transfer runs at a time, from one peer; another peer is used only after this one has made
-    // no progress for peer_timeout.
+    // If every peer with the newer text sent it at once, each change would cost one whole text per
+    // peer. One transfer runs at a time, from one peer. A heartbeat of that peer repeats the
+    // request and restarts the time-out, even if no part has arrived; a heartbeat of another peer
+    // replaces the transfer only after peer_timeout without parts and repetitions.
     if (incoming_) {
         const auto idle_time = now - incoming_->last_progress();
         const bool is_same_peer = incoming_->peer() == message.sender;
@@ -142,8 +147,9 @@
     const auto received = std::move(*incoming_);
     incoming_.reset();
     // A newer text from the store or another peer may have become active during the transfer; the
-    // older text must not revert it.
-    if (!supersedes_current(received.version(), received.digest(), true)) {
+    // older text must not revert it. The confirmation of the sender is passed as true because
+    // on_heartbeat checked it before the transfer started.
+    if (!supersedes_current(received.version(), received.digest(), /*is_confirmed=*/true)) {
         return;
     }
     auto decoded = wire::decode_transfer(received.bytes());
--- a/libraries/distribution/configuration_sync.h
+++ b/libraries/distribution/configuration_sync.h
@@ -26,6 +26,8 @@
     // State of the instance that this class uses.
     struct shared_state {
         configuration::configuration& configuration;
+        // True if this instance has read the active text from the store itself, not only received
+        // it from a peer.
         bool& is_configuration_confirmed;
         configuration::history& previous;
         outbox& out;
@@ -54,6 +56,9 @@
         bool operator==(const rejected_text&) const = default;
     };
 
+    // Whether a text is newer than the active one. Under the same version, another text supersedes
+    // the active one only if the peer has read its text from the store (`is_confirmed`) and this
+    // instance has not.
     bool supersedes_current(std::int64_t version, std::uint64_t digest, bool is_confirmed) const;
     bool is_rejected(std::int64_t version, std::uint64_t digest) const;
     void reject(std::int64_t version, std::uint64_t digest, std::string_view source,
--- a/libraries/instance/context.h
+++ b/libraries/instance/context.h
@@ -28,8 +28,10 @@
     identity self;
     counters counts;
     configuration::configuration configuration;
-    bool is_configuration_confirmed = false;  // this instance has read this version from the store
-    configuration::history previous;          // configurations that were in force earlier
+    // This instance has read the active text from the store itself, not only received it from a
+    // peer.
+    bool is_configuration_confirmed = false;
+    configuration::history previous;  // configurations that were in force earlier
     membership::peer_table peers;
     membership::ownership ownership;
     bool is_leaving = false;
