--- a/libraries/flows/lookup.h
+++ b/libraries/flows/lookup.h
@@ -58,6 +58,7 @@
     void on_answer(const wire::flow_query_answer& answer, clock::time_point now);
     void on_tick(clock::time_point now);
 
+    // Whether a lookup for an opening packet of this flow is running.
     bool is_opening(routing::flow_key key) const;
     // Ends a lookup without a result and returns the held packet.
     std::optional<wire::forward> abandon(routing::flow_key key);
--- a/libraries/hand_over/hand_overs.cpp
+++ b/libraries/hand_over/hand_overs.cpp
@@ -281,7 +281,8 @@
 }
 
 // Adds the records that this instance doesn't hold yet. Unless the hand-over is complete, another
-// instance may have dispatched requests on any of the flows, so all of them are fenced.
+// instance may have dispatched requests on any of the flows. Until in_doubt_until, a request on
+// them that has no record here therefore counts as one that may have run.
 void membership_protocol::merge_records(const configuration::target& target,
                                         const wire::hand_over& part, clock::time_point now,
                                         bool is_complete) {
