--- a/standins/flow_caller/flow_caller.cpp
+++ b/standins/flow_caller/flow_caller.cpp
@@ -97,15 +97,18 @@
                                         clock::time_point now) {
     const auto elapsed = now - flow.started_at;
     if (flow.phase == flow_phase::opening) {
-        const auto due = flow.opening_copies == 0 ? first_opening_retry : second_opening_retry;
+        const auto due =
+            flow.opening_retransmissions == 0 ? first_opening_retry : second_opening_retry;
         if (elapsed >= opening_timeout) {
             ++tally_.not_opened;
             return true;
         }
-        if (flow.opening_copies < 2 && elapsed >= due) {
-            ++flow.opening_copies;
+        if (flow.opening_retransmissions < 2 && elapsed >= due) {
+            ++flow.opening_retransmissions;
             auto copy = flow.last_sent;
-            copy.acknowledged = static_cast<std::uint32_t>(flow.opening_copies);
+            // By the platform's rule, the acknowledgement field of an opening carries the number of
+            // its retransmission.
+            copy.acknowledged = static_cast<std::uint32_t>(flow.opening_retransmissions);
             transmit(copy);
         }
         return false;
@@ -158,7 +161,7 @@
         reset_callback_({.target = flow.target,
                          .sender = std::string{sender},
                          .is_from_balancer = is_from_balancer,
-                         .opening_copies = flow.opening_copies,
+                         .opening_retransmissions = flow.opening_retransmissions,
                          .opened_at = flow.opened_at});
     }
 }
@@ -189,7 +192,8 @@
     const auto space = packet.data.find(' ');
     const auto id = packet.data.substr(0, space);
     if (id != flow.request) {
-        // A retransmitted answer to an earlier request.
+        // Not an answer to the current request, such as a retransmitted answer to an earlier one.
+        // Dropped and not counted.
         return;
     }
     flow.has_answer = true;
--- a/standins/flow_caller/flow_caller.h
+++ b/standins/flow_caller/flow_caller.h
@@ -34,25 +34,27 @@
 
 // A reset of a flow that was open.
 struct flow_reset {
-    std::string target;  // where the flow was open
+    std::string target;  // id of the target that accepted the flow; empty if it is unknown
     std::string sender;  // ip:port of the process that sent the reset
     bool is_from_balancer = false;
-    // Retransmissions of the opening; if there were any, two targets may have accepted the flow.
-    int opening_copies = 0;
+    // Not counting the original; if there were any, two targets may have accepted the flow.
+    int opening_retransmissions = 0;
     clock::time_point opened_at;
 };
 
 struct caller_tally {
     int requests_sent = 0;
     int answered = 0;
-    int unanswered = 0;  // requests without an answer within the deadline
-    int opened = 0;
-    int refused = 0;                               // openings that were reset
-    int not_opened = 0;                            // openings without an answer
-    int wrong_answers = 0;                         // the answer of another service
-    std::map<std::string, int> reset_by_balancer;  // resets of open flows, by target
-    std::map<std::string, int> reset_by_target;
-    int reset_before_any_answer = 0;  // flows that the balancer reset before their first answer
+    int unanswered = 0;     // requests without an answer within the deadline
+    int opened = 0;         // openings that a target accepted
+    int refused = 0;        // openings that were reset
+    int not_opened = 0;     // openings neither accepted nor reset within their time-out
+    int wrong_answers = 0;  // answers to the current request from a target of another service
+    // Resets of open flows, by the id of the target that accepted the flow.
+    std::map<std::string, int> reset_by_balancer;
+    std::map<std::string, int> reset_by_target;  // sent by this or any other target
+    // Flows that the balancer reset before the first answer to a request.
+    int reset_before_any_answer = 0;
     std::vector<std::int64_t> latencies_ms;
 };
 
@@ -62,7 +64,7 @@
                 std::vector<router::instance> instances);
 
     const caller_tally& results() const { return tally_; }
-    void on_reset(std::function<void(const flow_reset& reset)> callback) {
+    void set_reset_callback(std::function<void(const flow_reset& reset)> callback) {
         reset_callback_ = std::move(callback);
     }
     // Starts no new flows or requests.
@@ -75,12 +77,12 @@
         const called_route* route = nullptr;
         std::uint32_t sequence = 0;
         std::uint32_t acknowledged = 0;
-        std::uint32_t echo = 0;
-        int opening_copies = 0;
+        std::uint32_t echo = 0;  // token that the last packet carried and the next one returns
+        int opening_retransmissions = 0;
         int requests_left = 0;
         std::string request;
-        std::string target;  // where the flow is open: the first target to answer the opening
-        bool has_answer = false;
+        std::string target;       // id of the first target that accepted the opening
+        bool has_answer = false;  // to a request
         flow_packet last_sent;
         clock::time_point opened_at;
         clock::time_point started_at;  // time of the opening or the request
--- a/standins/flow_caller/main.cpp
+++ b/standins/flow_caller/main.cpp
@@ -92,6 +92,8 @@
                                   count_excluding(tally.reset_by_balancer, ended));
     all_held &= print_verdict("open flows that another target reset",
                               count_excluding(tally.reset_by_target, ended));
+    // Counts only answers of another service: the callers drop an answer with another id than that
+    // of the current request.
     all_held &=
         print_verdict("answers to another request or of another service", tally.wrong_answers);
     all_held &= print_verdict("requests that ran twice", static_cast<int>(run_twice));
--- a/standins/soak/soak.cpp
+++ b/standins/soak/soak.cpp
@@ -17,7 +17,8 @@
 constexpr int http_ok = 200;
 constexpr clock::duration http_limit{1'000};
 constexpr clock::duration poll_interval{400};
-// Time-bounded checks apply to an instance or target that has been undisturbed for this long.
+// After a fault of an instance or target has ended, resets and slow stops are excused for this
+// long.
 constexpr clock::duration settle_time{4'000};
 // Gap between two faults of a fault phase; short enough that several overlap.
 constexpr int min_fault_gap_ms = 150;
@@ -28,8 +29,8 @@
 constexpr clock::duration max_change_delay{3'000};
 constexpr clock::duration max_evacuation_delay{5'000};
 constexpr clock::duration max_stop_time{6'000};
-// Openings per second that a cold target may get with the settings of the soak: 1.5 times
-// cold_per_s, which is two, plus five.
+// Openings per second that a cold target may get: 1.5 * cold_per_s + 5, with cold_per_s = 2 in the
+// configuration of the soak.
 constexpr int max_cold_openings = 8;
 // Share of the requests in a steady phase: a flow may be lost when its target is killed.
 constexpr double max_steady_loss_ratio = 0.01;
@@ -87,7 +88,7 @@
             {.packet_address = each.packet_address, .readiness_address = each.readiness_address});
     }
     callers_ = std::make_unique<flow_caller>(loop_, options, instances);
-    callers_->on_reset([this](const flow_reset& reset) { on_reset(reset); });
+    callers_->set_reset_callback([this](const flow_reset& reset) { on_reset(reset); });
     run_for(clock::duration{2'000});
 }
 
@@ -158,16 +159,16 @@
     return all[static_cast<std::size_t>(random_below(static_cast<int>(all.size())))];
 }
 
-void soak::disturb(clock::time_point& until, clock::duration length) {
+void soak::extend_excuse(clock::time_point& until, clock::duration length) {
     until = std::max(until, clock::now() + length + settle_time);
 }
 
-void soak::disturb_all(clock::duration length) {
+void soak::extend_all_excuses(clock::duration length) {
     for (auto& each : fleet_.instances()) {
-        disturb(each.disturbed_until, length);
+        extend_excuse(each.excused_until, length);
     }
     for (auto& each : fleet_.targets()) {
-        disturb(each.disturbed_until, length);
+        extend_excuse(each.excused_until, length);
     }
 }
 
@@ -226,7 +227,8 @@
     const int zone = random_below(soak_fleet::zones);
     fleet_.write_zone(zone, true);
     run_for(max_change_delay + clock::duration{800});
-    // After its drain the target goes on serving for a while, then exits without deregistering.
+    // The drained target gets SIGKILL. Its entry is removed at once; the platform removes it after
+    // missed heartbeats.
     drained.program->kill();
     fleet_.remove_entry(drained.id);
     run_for(max_evacuation_delay - max_change_delay);
@@ -239,6 +241,9 @@
     restart_later(drained, clock::duration{0});
     run_for(clock::duration{3'200});
 
+    // Since the recovery: `lost` counts the requests without an answer within the deadline and the
+    // openings that were neither accepted nor reset in time; `requests` counts the requests only.
+    // Openings that were reset, and requests whose flow was reset, do not count as lost.
     const auto& now = callers_->results();
     const int requests = now.requests_sent - before.requests_sent;
     const int lost = now.unanswered - before.unanswered + now.not_opened - before.not_opened;
@@ -277,6 +282,8 @@
 void soak::query_openings(int zone, std::function<void(std::map<std::string, int>)> done) {
     auto counts = std::make_shared<std::map<std::string, int>>();
     for (const auto& each : fleet_.targets()) {
+        // Every target has a program, running or not. One that is not running gives no answer and
+        // is left out for that reason.
         if (each.zone != zone || !each.program || pending_starts_[each.id] > 0) {
             continue;
         }
@@ -304,6 +311,9 @@
     });
 }
 
+// Checks the counts of each target on its own; a target that does not answer is skipped. The counts
+// start at 0 with the target's process: as the drained target is killed and started again before
+// this, its openings while draining are not seen here.
 void soak::check_target_reports() {
     for (const auto& each : fleet_.targets()) {
         fleet_.http().get("http://" + each.address + "/runs", http_limit,
@@ -337,7 +347,7 @@
     }
     for (auto& each : fleet_.instances()) {
         if (each.program->is_running() || pending_starts_[each.name] > 0) {
-            const bool is_late = each.is_stopping && clock::now() >= each.disturbed_until &&
+            const bool is_late = each.is_stopping && clock::now() >= each.excused_until &&
                                  clock::now() - stopping_since_[each.name] > max_stop_time;
             if (is_late) {
                 report_violation(each.name + " didn't end within its grace");
@@ -347,6 +357,7 @@
             }
             continue;
         }
+        // Also reported for an instance that was told to stop and exited with a nonzero status.
         if (!each.is_stopping || each.program->status() != 0) {
             report_violation(each.name + " ended by itself with status " +
                              std::to_string(each.program->status()));
@@ -392,14 +403,15 @@
     last = current;
 }
 
-// An instance may reset an open flow only if the flow's target or that instance was disturbed
-// within the settle time.
+// A reset by an instance is excused if the excused period of the flow's target or of that instance
+// has not ended, or if the target is not running. Besides resets, only slow stops are excused by
+// these periods, see check_processes().
 void soak::on_reset(const flow_reset& reset) {
     const auto now = clock::now();
     auto& targets = fleet_.targets();
     const auto target = std::ranges::find(targets, reset.target, &soak_target::id);
     if (target == targets.end()) {
-        report_violation("a flow was open at a stranger, " + reset.sender);
+        report_violation("a flow open at an unknown target was reset by " + reset.sender);
         return;
     }
     if (!reset.is_from_balancer) {
@@ -409,8 +421,8 @@
     auto& instances = fleet_.instances();
     const auto sender = ip_of(reset.sender);
     const auto instance = std::ranges::find(instances, sender, &soak_instance::packet_source);
-    const bool is_excused = now < target->disturbed_until ||
-                            (instance != instances.end() && now < instance->disturbed_until) ||
+    const bool is_excused = now < target->excused_until ||
+                            (instance != instances.end() && now < instance->excused_until) ||
                             !target->program->is_running();
     if (!is_excused) {
         report_violation("a flow open at " + reset.target + " was reset by " +
@@ -419,12 +431,13 @@
 }
 
 // A target may reset a flow that it held before it was restarted. A reset by any other target means
-// that a packet was routed to the wrong target, unless both accepted copies of the opening.
+// that a packet was routed to the wrong target. It is excused if the opening was retransmitted,
+// since both targets may then have accepted the flow. Excused periods do not apply here.
 void soak::on_reset_by_target(const flow_reset& reset, const soak_target& target) {
-    const bool is_own = ip_of(target.address) == ip_of(reset.sender);
+    const bool is_from_flow_target = ip_of(target.address) == ip_of(reset.sender);
     const bool has_restarted = target.started_at > reset.opened_at;
-    if (is_own ? has_restarted : reset.opening_copies > 0) {
-        result_.accepted_twice += is_own ? 0 : 1;
+    if (is_from_flow_target ? has_restarted : reset.opening_retransmissions > 0) {
+        result_.accepted_twice += is_from_flow_target ? 0 : 1;
         return;
     }
     report_violation("a flow open at " + reset.target + " was reset by the target at " +
@@ -441,6 +454,8 @@
     callers_->stop();
     run_for(clock::duration{3'500});
     result_.tally = callers_->results();
+    // Only answers of another service are counted: the callers drop an answer with another id than
+    // that of the current request.
     if (result_.tally.wrong_answers > 0) {
         report_violation(std::to_string(result_.tally.wrong_answers) +
                          " answers to another request or of another service");
--- a/standins/soak/soak.h
+++ b/standins/soak/soak.h
@@ -1,11 +1,25 @@
 // A randomized soak test. Each round has a fault phase, in which seeded faults and planned changes
 // overlap, and a steady phase, in which all faults are cleared and the fleet must recover.
 //
-// Checked in both phases: no caller receives another's answer, no request runs twice, no instance
-// reverts to an older version or revision or exits by itself, and no cold target gets more flows
-// than its limit. Whether an open flow may be reset depends on what was disturbed, see on_reset().
-// Checked in the steady phase only, since it needs a working fleet: changes take effect in time,
-// drains, zone evacuations, graceful stops, and that requests are served.
+// Checked in both phases:
+// - The answer to a request comes from a target of the requested service. Answers whose id is not
+//   that of the flow's current request are dropped and not counted.
+// - No instance reverts to an older version or revision between its start and its exit.
+// - No instance exits unless the soak killed it or told it to stop. An instance that was told to
+//   stop exits with status 0 and, unless it is excused by a fault, in time.
+// - An open flow is reset only if on_reset() or on_reset_by_target() excuses it.
+// Counted by the targets and read at the end of the steady phase; a restart of a target clears its
+// counts:
+// - No target runs a request more than once. Counts of different targets are not added up, so a
+//   request that runs once at each of two targets is not found.
+// - No cold target gets more flows per second than its limit.
+// - No target gets new flows from 3 s after its drain on. This finds nothing at present, see
+//   check_target_reports().
+// Checked in the steady phase only, since it needs a working fleet:
+// - Every instance is ready and has the latest configuration within the recovery time.
+// - A configuration change reaches every instance in time.
+// - The targets of an evacuated zone get no new flows once the evacuation must have taken effect.
+// - Few requests and openings time out.
 #pragma once
 
 #include <ev++.h>
@@ -28,8 +42,8 @@
     caller_tally tally;
     std::vector<std::string> violations;
     std::map<std::string, int> fault_counts;  // faults and changes, by name
-    // Flows that two targets accepted, because the caller retransmitted its opening before the
-    // first target's answer arrived, and that were reset when packets went to the other target.
+    // Open flows that another target reset after their opening had been retransmitted. Two targets
+    // may have accepted such a flow, and packets that then go to the other target are reset.
     int accepted_twice = 0;
 };
 
@@ -71,7 +85,7 @@
     void on_tick(ev::timer& watcher, int events);
     void inject_fault();
 
-    // Faults and planned changes. Each chooses its instance, target or zone and schedules its end.
+    // Faults and planned changes; soak_faults.cpp says how they choose their objects and end.
     void kill_instance();
     void kill_many();
     void pause_instance();
@@ -114,8 +128,10 @@
     void on_reset(const flow_reset& reset);
     void on_reset_by_target(const flow_reset& reset, const soak_target& target);
     void report_violation(const std::string& description);
-    static void disturb(clock::time_point& until, clock::duration length);
-    void disturb_all(clock::duration length);
+    // Extends a period in which resets and slow stops are excused to the end of a fault of this
+    // length plus the settle time.
+    static void extend_excuse(clock::time_point& until, clock::duration length);
+    void extend_all_excuses(clock::duration length);
 
     soak_instance& random_instance();
     soak_target& random_target();
@@ -134,7 +150,7 @@
     std::map<std::string, reported_state> reported_states_;
     std::map<std::string, int> pending_starts_;
     std::map<std::string, clock::time_point> stopping_since_;
-    std::map<std::string, int> runs_;  // of each request, over all running targets
+    std::map<std::string, int> runs_;  // unused: run counts are not added up over the targets
     clock::time_point next_poll_;
     clock::time_point started_at_;
     bool is_fault_phase_ = false;
--- a/standins/soak/soak_faults.cpp
+++ b/standins/soak/soak_faults.cpp
@@ -1,5 +1,10 @@
-// The faults and planned changes of a fault phase. Each chooses its instance, target or zone at
-// random and schedules its own end.
+// The faults and planned changes of a fault phase. Those of instances, targets and zones choose
+// their object at random; those of the store and of the configuration apply to the whole fleet.
+// Faults that last for a time schedule their own end. store_loses_answers() ends after a number of
+// answers, stop_instance() when the instance has exited; the others take effect once.
+//
+// A fault after which an instance may reset open flows or stop slowly calls extend_excuse() or
+// extend_all_excuses(). The others must cause neither.
 #include <csignal>
 #include <string>
 
@@ -38,7 +43,7 @@
 void soak::kill_instance() {
     auto& instance = random_instance();
     const auto downtime = random_duration(50, 3'000);
-    disturb(instance.disturbed_until, downtime);
+    extend_excuse(instance.excused_until, downtime);
     instance.program->kill();
     instance.is_stopping = false;
     restart_later(instance, downtime);
@@ -48,7 +53,7 @@
     const auto downtime = random_duration(100, 1'500);
     for (auto& each : fleet_.instances()) {
         if (random_below(3) > 0) {
-            disturb(each.disturbed_until, downtime);
+            extend_excuse(each.excused_until, downtime);
             each.program->kill();
             each.is_stopping = false;
             restart_later(each, downtime);
@@ -59,7 +64,7 @@
 void soak::pause_instance() {
     auto& instance = random_instance();
     const auto length = random_duration(100, 5'000);
-    disturb(instance.disturbed_until, length);
+    extend_excuse(instance.excused_until, length);
     instance.program->signal(SIGSTOP);
     schedule(length, [&instance] { instance.program->signal(SIGCONT); });
 }
@@ -81,7 +86,7 @@
 void soak::lose_store_of_instance() {
     auto& instance = random_instance();
     const auto length = random_duration(500, 6'000);
-    disturb(instance.disturbed_until, length);
+    extend_excuse(instance.excused_until, length);
     link_state state;
     state.is_refusing = random_below(3) == 0;
     state.is_cut_forward = random_below(2) == 0;
@@ -92,27 +97,29 @@
 
 void soak::reset_streams_of_instance() {
     auto& instance = random_instance();
-    disturb(instance.disturbed_until, clock::duration{0});
+    extend_excuse(instance.excused_until, clock::duration{0});
     instance.store->reset_all();
     instance.pulls->reset_all();
 }
 
 void soak::silence_streams_of_instance() {
     auto& instance = random_instance();
-    disturb(instance.disturbed_until, clock::duration{0});
+    extend_excuse(instance.excused_until, clock::duration{0});
     instance.store->silence_all();
     instance.pulls->silence_all();
 }
 
+// Cuts what peers send to the instance, digests and pulls. Unless the cut is inbound only, its
+// digests to peers and its replies to their pulls are dropped too. Its own pulls from peers pass.
 void soak::cut_instance_from_peers() {
     auto& instance = random_instance();
     const auto length = random_duration(500, 6'000);
-    disturb(instance.disturbed_until, length);
-    const bool is_one_way = random_below(2) == 0;
+    extend_excuse(instance.excused_until, length);
+    const bool is_inbound_only = random_below(2) == 0;
     instance.digests->set({.is_cut_forward = true});
-    instance.pulls->set({.is_cut_forward = true, .is_cut_back = !is_one_way});
+    instance.pulls->set({.is_cut_forward = true, .is_cut_back = !is_inbound_only});
     for (auto& each : fleet_.instances()) {
-        each.digests->block(instance.packet_source, !is_one_way);
+        each.digests->block(instance.packet_source, !is_inbound_only);
     }
     schedule(length, [this, &instance] {
         instance.digests->set({});
@@ -123,10 +130,11 @@
     });
 }
 
+// Drops a part of the packets and digests towards the instance.
 void soak::lose_packets_of_instance() {
     auto& instance = random_instance();
     const auto length = random_duration(500, 4'000);
-    disturb(instance.disturbed_until, length);
+    extend_excuse(instance.excused_until, length);
     const double loss = 0.02 * (1 + random_below(10));
     instance.packets->set({.loss = loss});
     instance.digests->set({.loss = loss});
@@ -136,10 +144,11 @@
     });
 }
 
+// Delays the packets towards the instance and, in both directions, its store link.
 void soak::delay_packets_of_instance() {
     auto& instance = random_instance();
     const auto length = random_duration(500, 4'000);
-    disturb(instance.disturbed_until, length);
+    extend_excuse(instance.excused_until, length);
     const auto delay = random_duration(5, 400);
     instance.packets->set({.delay = delay});
     instance.store->set({.delay = delay});
@@ -153,7 +162,7 @@
     const int zone = random_below(soak_fleet::zones);
     const auto length = random_duration(500, 6'000);
     // Callers and targets on both sides of the cut lose contact.
-    disturb_all(length);
+    extend_all_excuses(length);
     const auto cut = [this, zone](bool is_cut) {
         for (int other = 0; other < soak_fleet::zones; ++other) {
             if (other != zone) {
@@ -168,7 +177,7 @@
 void soak::kill_target() {
     auto& target = random_target();
     const auto downtime = random_duration(50, 4'000);
-    disturb(target.disturbed_until, downtime);
+    extend_excuse(target.excused_until, downtime);
     target.program->kill();
     // A crashed target does not deregister: its entry is removed after three missed heartbeats.
     constexpr clock::duration entry_timeout{1'200};
@@ -183,15 +192,17 @@
 void soak::pause_target() {
     auto& target = random_target();
     const auto length = random_duration(100, 3'000);
-    disturb(target.disturbed_until, length);
+    extend_excuse(target.excused_until, length);
     target.program->signal(SIGSTOP);
     schedule(length, [&target] { target.program->signal(SIGCONT); });
 }
 
+// Drops all or 30 % of the packets towards the target. Its answers to callers and its heartbeats do
+// not pass through this link.
 void soak::cut_target() {
     auto& target = random_target();
     const auto length = random_duration(300, 4'000);
-    disturb(target.disturbed_until, length);
+    extend_excuse(target.excused_until, length);
     target.packets->set({.loss = random_below(2) == 0 ? 1.0 : 0.3});
     schedule(length, [&target] { target.packets->set({}); });
 }
--- a/standins/soak/soak_fleet.h
+++ b/standins/soak/soak_fleet.h
@@ -40,8 +40,8 @@
     std::unique_ptr<stream_link> pulls;
     std::unique_ptr<stream_link> store;
     std::unique_ptr<process> program;
-    clock::time_point disturbed_until;
-    bool is_stopping = false;  // SIGTERM was sent
+    clock::time_point excused_until;  // until then, resets and a slow stop are no violation
+    bool is_stopping = false;         // SIGTERM was sent
 };
 
 struct soak_target {
@@ -51,7 +51,7 @@
     std::string address;  // not behind a link: packets, and HTTP for its counters
     std::unique_ptr<datagram_link> packets;
     std::unique_ptr<process> program;
-    clock::time_point disturbed_until;
+    clock::time_point excused_until;  // until then, instances may reset its flows
     clock::time_point started_at;
 };
 
