--- a/standins/platform/revisioned_store.cpp
+++ b/standins/platform/revisioned_store.cpp
@@ -303,7 +303,7 @@
             expired.push_back(lease_id);
         }
     }
-    // Leases do not expire during a store outage.
+    // Leases do not expire during a store outage; overdue ones expire at the first tick after it.
     if (!is_down_ && !is_silent_) {
         std::ranges::for_each(expired, [this](std::int64_t lease_id) { end_lease(lease_id); });
     }
--- a/standins/platform/revisioned_store.h
+++ b/standins/platform/revisioned_store.h
@@ -2,9 +2,10 @@
 // leases and transactions, and faults that tests inject.
 //
 // Faults (PUT /fault?...): down=1|0 answers 503, silent=1|0 does not answer, lost=N drops the
-// answers to the next N writes after they took effect, forget=1 drops the history, lapse=1 removes
-// all current entries below servers/. PUT /put?key=K and /remove?key=K write as operators and
-// targets do.
+// answers to the next N calls except reads and watches, after they took effect, forget=1 drops the
+// history, lapse=1 removes all current entries below servers/. PUT /put?key=K and /remove?key=K
+// write as operators and targets do; while the store is down or silent, they take effect and answer
+// 503.
 #pragma once
 
 #include <ev++.h>
@@ -36,8 +37,8 @@
     struct entry {
         std::string value;
         std::int64_t revision = 0;
-        std::int64_t created = 0;
-        std::int64_t lease = 0;
+        std::int64_t created = 0;  // revision of the write that created the entry
+        std::int64_t lease = 0;    // id of the lease, 0 for none
     };
     struct change {
         std::int64_t revision = 0;
