--- a/meta/steering_fleet.sh
+++ b/meta/steering_fleet.sh
@@ -1,6 +1,9 @@
 # Starts a fleet that routes by token as real processes on loopback: the daemon with the adapter for the
-# users' platform, and stand-ins for its store, routers, targets and callers. Sourced by bramleytrack.sh
-# after fleet.sh, whose start() and stop_fleet() it uses.
+# users' platform, and stand-ins for its store, routers, targets and callers. A token is a 32-bit field in
+# a flow's packets that names the flow's target; callers return it with each packet.
+#
+# Sourced by bramleytrack.sh, which sets $build and defines say(), after fleet.sh, whose start(),
+# stop_fleet(), is_fleet_whole(), pids, workspace and instances it uses.
 #
 # Every process has its own loopback address, since the platform uses the same ports on all machines.
 
@@ -91,11 +94,13 @@
         start_steering_instance "$i"
     done
     sleep 1.5
-    is_fleet_whole
+    is_fleet_whole # of fleet.sh: fails if one of the processes in pids has exited
 }
 
 # Common changes and faults: a new route, a drain, crashes of a target and of an instance, a graceful
 # restart, a store outage during which an instance starts, and a zone that is taken out.
+# In the messages, a store that is away answers 503 (down=1), and a target that falls silent is killed
+# and its entry removed.
 steering_scenario() {
     sleep 3
     say "a route is added"
