--- a/libraries/membership/ownership.cpp
+++ b/libraries/membership/ownership.cpp
@@ -87,8 +87,8 @@
     return epoch;
 }
 
-void ownership::relinquish(std::string_view target, const claim& valid) {
-    observe_epoch(target, valid.epoch);
+void ownership::relinquish(std::string_view target, const claim& peer_claim) {
+    observe_epoch(target, peer_claim.epoch);
     release(target);
 }
 
@@ -106,8 +106,8 @@
     }
 }
 
-void ownership::delay_takeovers(clock::time_point now, clock::duration time) {
-    listening_since_ = std::max(listening_since_, now + time - dead_after);
+void ownership::delay_takeovers(clock::time_point now, clock::duration delay) {
+    listening_since_ = std::max(listening_since_, now + delay - dead_after);
 }
 
 void ownership::drop_all(clock::time_point now) {
@@ -147,10 +147,10 @@
         return self_;
     }
     const auto current_claim = peers.claim_of(target.name, now);
-    // Between the release and the receiver's first heartbeat no instance claims the target, and
-    // packets that still arrive at the former owner would be dropped as unreachable. The former
-    // owner forwards them to the receiver until it receives a claim whose epoch is not lower than
-    // that of the move.
+    // A former owner claims a moved target until every part is acknowledged. From then until the
+    // receiver's first heartbeat arrives no instance claims it, and packets that still reach the
+    // former owner would be dropped as unreachable. The former owner forwards them to the receiver
+    // until it receives a claim whose epoch is not lower than that of the move.
     if (const auto* move = find_move(target.name)) {
         if (current_claim.claimant == nullptr || current_claim.epoch < move->epoch) {
             return move->receiver;
--- a/libraries/membership/ownership.h
+++ b/libraries/membership/ownership.h
@@ -7,7 +7,9 @@
 // requests a hand-over from that peer; ownership changes only with the hand-over.
 //
 // Each ownership of a target has an epoch higher than that of every earlier ownership seen by this
-// instance. If two instances still claim one target, the one with the lower epoch gives it up.
+// instance. If two instances still claim one target, the claim with the higher epoch has
+// precedence, or with equal epochs that of the greater name; the other instance gives the target
+// up.
 #pragma once
 
 #include <map>
@@ -32,7 +34,8 @@
     origin acquired_by = origin::taken_over;
     clock::time_point since;
     std::int64_t epoch = 0;
-    clock::time_point fence_until{};  // requests dispatched by an earlier owner may run until then
+    // Requests that an earlier owner dispatched may run until then, plus records::deadline_grace.
+    clock::time_point fence_until{};
 };
 
 // A target that is being, or has been, handed over to a peer.
@@ -41,7 +44,9 @@
     std::int64_t receiver_incarnation = 0;
     std::int64_t epoch = 0;  // of the receiver's ownership
     clock::time_point since;
-    bool is_complete = false;  // the receiver has acknowledged every record
+    // The receiver has acknowledged every part, or a peer's claim with at least this epoch has been
+    // received.
+    bool is_complete = false;
 };
 
 struct ownership_change {
@@ -64,12 +69,13 @@
     void release(std::string_view target);
     // Releases an owned target to `receiver` and returns the epoch of the receiver's ownership.
     std::int64_t begin_move(std::string_view target, const peer& receiver, clock::time_point now);
-    // Releases a target that a peer already owns by the claim with precedence.
-    void relinquish(std::string_view target, const claim& valid);
+    // Releases a target because a peer's claim has precedence, and records the epoch of that claim.
+    void relinquish(std::string_view target, const claim& peer_claim);
     void complete_move(std::string_view target);
     void erase_move(std::string_view target);
-    // Suspends takeovers for `time`: after a short stall, heartbeats of peers may still be unread.
-    void delay_takeovers(clock::time_point now, clock::duration time);
+    // Suspends takeovers for at least `delay`: after a short stall, heartbeats of peers may still
+    // be unread.
+    void delay_takeovers(clock::time_point now, clock::duration delay);
     // Drops all ownerships at once: this process was paused and a successor may be active.
     void drop_all(clock::time_point now);
 
@@ -80,8 +86,8 @@
 
     const owned_target* find(std::string_view target) const;
     const moved_target* find_move(std::string_view target) const;
-    // True from the release until the receiver has acknowledged all records; packets for the target
-    // are held back meanwhile.
+    // True from the release until the move is complete; packets for the target are held back
+    // meanwhile.
     bool is_moving(std::string_view target) const;
     const std::map<std::string, owned_target, std::less<>>& owned() const { return owned_; }
     const std::map<std::string, moved_target, std::less<>>& moved() const { return moved_; }
@@ -96,7 +102,9 @@
 
     std::string self_;
     std::string zone_;
-    clock::time_point listening_since_;  // all claims of live peers have arrived dead_after later
+    // Takeovers are allowed from dead_after later: by then the claims of all live peers have
+    // arrived. delay_takeovers sets it so that dead_after later is the end of the delay.
+    clock::time_point listening_since_;
     std::map<std::string, owned_target, std::less<>> owned_;
     std::map<std::string, moved_target, std::less<>> moved_;   // never holds an owned target
     std::map<std::string, std::int64_t, std::less<>> epochs_;  // highest epoch seen for each target
--- a/libraries/membership/peer_table.h
+++ b/libraries/membership/peer_table.h
@@ -20,11 +20,12 @@
 
 // Interval between heartbeats to each peer.
 constexpr clock::duration heartbeat_interval{500};
-// A peer from which nothing was received for this long counts as dead; three heartbeats in a row
-// may be lost.
+// A peer from which nothing was received for this long counts as dead. Two heartbeats in a row may
+// be lost; after three, the next one is due only when the peer already counts as dead.
 constexpr clock::duration dead_after{2000};
-// A longer gap between two events means that the process was paused. Shorter than dead_after, so
-// that a paused owner detects the pause before a successor takes over.
+// A longer gap between two events means that the process was paused. Shorter than dead_after
+// less one heartbeat_interval: unless heartbeats were lost or late as well, every pause long enough
+// for a takeover is detected at the first event after it.
 constexpr clock::duration pause_limit{1200};
 // An owner dispatches new work only while every live peer of its zone has echoed a heartbeat that
 // was sent within this time. Shorter than dead_after, so that it stops before a peer takes over.
@@ -45,7 +46,8 @@
     std::string zone;
     std::string address;
     std::int64_t incarnation = 0;
-    // None if nothing was received yet or the peer has shut down.
+    // When the last accepted message of any kind arrived. None if nothing was received yet, or if
+    // the last heartbeat announced that the peer stops.
     std::optional<clock::time_point> last_heartbeat_at;
     bool is_listed = false;
     bool is_leaving = false;
