--- a/libraries/hand_over/hand_over_parts.cpp
+++ b/libraries/hand_over/hand_over_parts.cpp
@@ -24,8 +24,9 @@
            outcome.member.size() + outcome.payload.size();
 }
 
-// Without its payload, a waiting request would be dispatched empty by the receiver. It has not been
-// sent to the target, so it is refused as not run; a dispatched one is not retried.
+// Without its payload, a waiting request would be dispatched empty by the receiver. Unless an
+// earlier owner may have run it, it has not been sent to the target and is refused as not run.
+// Setting `attempts` to the maximum keeps a dispatched one from being dispatched again.
 void drop_payload(wire::request_record& record) {
     auto& content = record.content;
     content.payload.clear();
--- a/libraries/hand_over/hand_over_parts.h
+++ b/libraries/hand_over/hand_over_parts.h
@@ -21,8 +21,9 @@
 std::size_t max_encoded_size(const wire::flow_record& record);
 std::size_t max_encoded_size(const wire::request_record& record);
 
-// Drops the payload of a record that exceeds max_record_bytes. An answer without its payload
-// becomes an unknown outcome, and a waiting request is rejected.
+// Drops the payload of a record that exceeds max_record_bytes. An answer becomes an unknown
+// outcome. A waiting request is refused, or gets an unknown outcome if an earlier owner may have
+// run it. A dispatched request is not dispatched again.
 void drop_payload(wire::request_record& record);
 
 // Returns at least one part. `head` holds the fields that are repeated in each part.
--- a/libraries/hand_over/hand_overs.cpp
+++ b/libraries/hand_over/hand_overs.cpp
@@ -10,8 +10,9 @@
 namespace bramleytrack::hand_over {
 namespace {
 
-// Retention of a complete move. The receiver claims the target within one heartbeat, so an older
-// entry is no longer relevant.
+// A complete move is erased this long after its start, if it has not been erased before because the
+// receiver's claim arrived or the receiver failed. The receiver claims the target within one
+// heartbeat, so an older entry is no longer relevant.
 constexpr clock::duration move_retention{10'000};
 
 wire::peer_message to_message(const wire::hand_over& part) {
@@ -40,22 +41,24 @@
 }
 
 // When heartbeats are lost, a peer may take the target over from a live owner, and both own it. The
-// later claim is valid. The other instance stops serving the target and sends its records, so that
-// the peer also holds the flows and requests that it has not seen.
+// claim with the higher epoch, or with equal epochs the greater name, has precedence. This
+// instance, whose claim lacks it, stops serving the target and sends its records to the claimant,
+// which then also holds the flows and requests that it has not received itself.
 void membership_protocol::yield_target(std::string_view target, clock::time_point now) {
-    const auto valid = shared_.peers.claim_of(target, now);
-    if (valid.claimant == nullptr) {
+    const auto peer_claim = shared_.peers.claim_of(target, now);
+    if (peer_claim.claimant == nullptr) {
         return;
     }
     wire::hand_over head;
     head.is_merge = true;
-    head.epoch = valid.epoch;
+    head.epoch = peer_claim.epoch;
     auto parts = extract_records(target, head, now);
-    shared_.ownership.relinquish(target, valid);
-    shared_.out.log(
-        log_event{"target_yielded"}.with("target", target).with("receiver", valid.claimant->name));
+    shared_.ownership.relinquish(target, peer_claim);
+    shared_.out.log(log_event{"target_yielded"}
+                        .with("target", target)
+                        .with("receiver", peer_claim.claimant->name));
     const auto [added, is_new] = outgoing_.insert_or_assign(
-        std::string{target}, outgoing_transfer{valid.claimant->name, std::move(parts), now});
+        std::string{target}, outgoing_transfer{peer_claim.claimant->name, std::move(parts), now});
     send_due_parts(added->second, now);
 }
 
@@ -77,8 +80,9 @@
     return parts;
 }
 
-// An owner that hands a target over may remain the home of some of its flows. It keeps their
-// locations; otherwise a late copy of an opening packet would open the flow at a second target.
+// The home of a flow is the instance that owns the flow's first candidate. An owner that hands a
+// target over may remain the home of some of the target's flows. It keeps their locations;
+// otherwise a late copy of an opening packet would open the flow at a second target.
 void membership_protocol::save_locations(std::span<const wire::flow_record> flows,
                                          std::string_view target, clock::time_point now) {
     for (const auto& record : flows) {
@@ -126,20 +130,20 @@
         return false;
     }
     const auto* move = shared_.ownership.find_move(target);
-    const auto valid = shared_.peers.claim_of(target, now);
-    if (valid.claimant != nullptr && valid.epoch >= transfer.epoch()) {
+    const auto peer_claim = shared_.peers.claim_of(target, now);
+    if (peer_claim.claimant != nullptr && peer_claim.epoch >= transfer.epoch()) {
         // Either the receiver has all parts and its acknowledgements were lost, or another instance
         // has taken the target over meanwhile and lacks the records.
-        const bool has_arrived =
-            valid.claimant->name == transfer.receiver() && valid.epoch == transfer.epoch();
+        const bool has_arrived = peer_claim.claimant->name == transfer.receiver() &&
+                                 peer_claim.epoch == transfer.epoch();
         complete_move(target, now);
         if (!has_arrived) {
             auto parts = transfer.take_parts();
             for (auto& part : parts) {
                 part.is_merge = true;
-                part.epoch = valid.epoch;
+                part.epoch = peer_claim.epoch;
             }
-            transfer = outgoing_transfer{valid.claimant->name, std::move(parts), now};
+            transfer = outgoing_transfer{peer_claim.claimant->name, std::move(parts), now};
         }
         return has_arrived;
     }
@@ -173,7 +177,7 @@
                                        .epoch = shared_.ownership.next_epoch(target),
                                        .fence_until = now + records::max_request_lifetime});
     for (const auto& part : transfer.parts()) {
-        merge_records(*found, part, now, false);
+        merge_records(*found, part, now, /*lists_all_requests=*/false);
     }
     on_gained_(*found, origin::taken_over);
     shared_.out.log(log_event{"target_taken_back"}
@@ -186,8 +190,8 @@
 void membership_protocol::expire_moves(clock::time_point now) {
     std::vector<std::string> expired;
     for (const auto& [name, move] : shared_.ownership.moved()) {
-        const auto valid = shared_.peers.claim_of(name, now);
-        const bool is_claimed = valid.claimant != nullptr && valid.epoch >= move.epoch;
+        const auto peer_claim = shared_.peers.claim_of(name, now);
+        const bool is_claimed = peer_claim.claimant != nullptr && peer_claim.epoch >= move.epoch;
         const bool is_old = now - move.since >= move_retention;
         const auto* receiver = shared_.peers.find(move.receiver);
         const bool is_gone = !shared_.peers.is_alive(move.receiver, now) ||
@@ -213,8 +217,9 @@
     shared_.out.send_peer(sender, std::move(message));
 }
 
-// A part that is not accepted is not acknowledged: the sender then receives a later claim, or its
-// transfer times out and it reclaims the target.
+// A part that is not accepted is not acknowledged. The sender of a move then receives a claim with
+// at least the epoch of the move, or its transfer times out and it reclaims the target. A merge is
+// abandoned at its time-out.
 void membership_protocol::on_hand_over(const wire::peer_message& message, clock::time_point now) {
     const auto& part = message.handed_over;
     const auto* target = shared_.configuration.find_target(part.target);
@@ -224,7 +229,7 @@
     const auto* owned = shared_.ownership.find(part.target);
     if (part.is_merge) {
         if (owned != nullptr) {
-            merge_records(*target, part, now, false);
+            merge_records(*target, part, now, /*lists_all_requests=*/false);
             on_merged_(*target);
             acknowledge(message.sender, part);
         }
@@ -268,10 +273,10 @@
                                             .since = now,
                                             .epoch = transfer.epoch,
                                             .fence_until = fence});
-    shared_.flows.erase_on(target.name);  // records held only as the home of the flows
+    shared_.flows.erase_on(target.name);  // held only as the home of these flows
     std::int64_t flows = 0;
     for (const auto& [number, part] : transfer.parts) {
-        merge_records(target, part, now, true);
+        merge_records(target, part, now, /*lists_all_requests=*/true);
         flows += static_cast<std::int64_t>(part.flows.size());
     }
     on_gained_(target, origin::handed_over);
@@ -280,19 +285,19 @@
     send_heartbeats(now);
 }
 
-// Adds the records that this instance doesn't hold yet. Unless the hand-over is complete, another
-// instance may have dispatched requests on any of the flows. Until in_doubt_until, a request on
-// them that has no record here therefore counts as one that may have run.
+// Adds the records that this instance doesn't hold yet. `lists_all_requests` is false if another
+// owner may have dispatched requests that these records don't list. Until in_doubt_until, a request
+// on one of the added flows that has no record here then counts as one that may have run.
 void membership_protocol::merge_records(const configuration::target& target,
                                         const wire::hand_over& part, clock::time_point now,
-                                        bool is_complete) {
+                                        bool lists_all_requests) {
     const auto* owned = shared_.ownership.find(target.name);
     for (auto record : part.flows) {
         const auto* existing = shared_.flows.find(static_cast<routing::flow_key>(record.key));
         if (existing != nullptr && existing->record.target == target.name) {
             continue;
         }
-        if (!is_complete) {
+        if (!lists_all_requests) {
             const auto fence = owned->fence_until + records::deadline_grace;
             record.in_doubt_until = std::max(record.in_doubt_until, to_milliseconds(fence));
         }
--- a/libraries/hand_over/membership_protocol.cpp
+++ b/libraries/hand_over/membership_protocol.cpp
@@ -110,7 +110,7 @@
         const auto partial = incoming_.find(name);
         if (partial != incoming_.end()) {
             for (const auto& [number, part] : partial->second.parts) {
-                merge_records(target, part, now, false);
+                merge_records(target, part, now, /*lists_all_requests=*/false);
             }
             incoming_.erase(partial);
         }
--- a/libraries/hand_over/membership_protocol.h
+++ b/libraries/hand_over/membership_protocol.h
@@ -7,8 +7,8 @@
 //    arrive meanwhile. It claims the target in its heartbeats until the receiver has acknowledged
 //    every part, so that no other instance takes the target over.
 // 3. The receiver owns the target once it has all parts, and announces this immediately.
-// 4. The sender releases the held packets, which are forwarded to the receiver, once every part is
-//    acknowledged or it has received the receiver's claim.
+// 4. The sender releases the held packets, which are forwarded to the owner, once every part is
+//    acknowledged or it has received a claim with at least the epoch of the receiver's ownership.
 // If the receiver fails or stops acknowledging before step 4, the sender restores the records and
 // treats the target as one that was taken over from a dead owner.
 #pragma once
@@ -131,7 +131,7 @@
     void complete_hand_over(const configuration::target& target, const incoming_transfer& transfer,
                             clock::time_point now);
     void merge_records(const configuration::target& target, const wire::hand_over& part,
-                       clock::time_point now, bool is_complete);
+                       clock::time_point now, bool lists_all_requests);
     void restore_load(const configuration::target& target, const wire::hand_over& part,
                       clock::time_point now);
     std::uint64_t view_digest(clock::time_point now) const;
