--- a/libraries/records/request_table.h
+++ b/libraries/records/request_table.h
@@ -3,8 +3,9 @@
 // dispatched requests hold.
 //
 // Invariant: once a request has an outcome, every retransmission gets the same outcome; only
-// `unknown` may still be followed by the target's answer. So a request that was refused as not run
-// never runs afterwards, and one that ran never runs again.
+// `unknown` may still be followed by the target's answer, and an answer too large for a hand-over
+// becomes `unknown` (hand_over::drop_payload). So a request that was refused as not run never runs
+// afterwards, and one that ran never runs again.
 // Invariant: slots_held_on(target) equals the number of the target's records that hold a slot.
 #pragma once
 
@@ -58,7 +59,7 @@
     std::int64_t dispatch = 0;      // number of the last dispatch to the target
     int attempts = 0;               // number of dispatches
     std::uint64_t fingerprint = 0;  // see fingerprint_of
-    bool may_have_run = false;      // an earlier owner may have dispatched it
+    bool may_have_run = false;      // an earlier owner may have dispatched it; wire: is_in_doubt
     bool holds_slot = false;        // the target may be running it, even if its outcome is final
     bool is_flow_closed = false;    // a new flow may reuse its number
     clock::time_point arrived;      // when the first copy reached an owner
