--- a/libraries/load/fair_queue.cpp
+++ b/libraries/load/fair_queue.cpp
@@ -64,11 +64,11 @@
     work_class kind = 0;
     clock::time_point oldest = clock::time_point::max();
     for (auto each = members_.begin(); each != members_.end(); ++each) {
-        for (const auto& [other_kind, each_class] : each->second.classes) {
+        for (const auto& [each_kind, each_class] : each->second.classes) {
             if (!each_class.requests.empty() && each_class.requests.front().queued_at < oldest) {
                 oldest = each_class.requests.front().queued_at;
                 chosen = each;
-                kind = other_kind;
+                kind = each_kind;
             }
         }
     }
@@ -89,7 +89,8 @@
     return removed;
 }
 
-// At the end of a busy period the shares of all members are settled, so their state is dropped.
+// When the queue is empty, what the members were charged so far is dropped. Requests may still run
+// then; their differences are ignored for members that have queued nothing since, see charge().
 void fair_queue::reset_if_empty() {
     if (size_ == 0) {
         members_.clear();
@@ -144,13 +145,13 @@
 }
 
 std::vector<waiting_request> fair_queue::take_if(
-    const std::function<bool(const waiting_request&)>& is_infeasible) {
+    const std::function<bool(const waiting_request&)>& predicate) {
     std::vector<waiting_request> taken;
     for (auto& [name, member] : members_) {
         for (auto& [kind, each_class] : member.classes) {
             const auto first = std::stable_partition(
                 each_class.requests.begin(), each_class.requests.end(),
-                [&](const waiting_request& each) { return !is_infeasible(each); });
+                [&](const waiting_request& each) { return !predicate(each); });
             for (auto each = first; each != each_class.requests.end(); ++each) {
                 each_class.cost -= each->cost;
                 member.cost -= each->cost;
--- a/libraries/load/fair_queue.h
+++ b/libraries/load/fair_queue.h
@@ -5,8 +5,9 @@
 // waits for every long one ahead of it.
 // Start-time fair queueing (Goyal, Vin and Cheng 1996) on two levels: the slots' time is divided
 // between members, and a member's time between its classes of work. Each request is charged its
-// expected service time at dispatch and the difference to the actual time afterwards, so that a
-// wrong estimate favours no member for long. Deficit round robin would need a quantum that fits
+// expected service time at dispatch. The difference to the actual time is charged afterwards to the
+// member only, not to its class, so that a wrong estimate favours no member for long. Whenever the
+// queue is empty this history is dropped. Deficit round robin would need a quantum that fits
 // service times which differ a hundredfold.
 #pragma once
 
@@ -41,9 +42,9 @@
     std::optional<waiting_request> take_oldest();
     bool erase(const records::request_id& id);
 
-    // Removes the newest request of the member with the most queued, if it has more queued than
-    // `member` would have with one more, so that a flood can't keep other members out of a full
-    // queue.
+    // Takes the member with the most queued requests. If it has more than `member` would have with
+    // one more, removes the newest request of its longest class; otherwise removes nothing. So a
+    // flood can't keep other members out of a full queue.
     std::optional<waiting_request> evict_for(std::string_view member);
 
     // Service time, in milliseconds, that the member receives until a request pushed now would end,
@@ -55,15 +56,16 @@
     double other_member_work_ahead(std::string_view member, double own_work, std::string_view other,
                                    double additional_work) const;
 
-    // Removes and returns the requests for which `is_infeasible` returns true.
+    // Removes and returns the requests for which `predicate` returns true.
     std::vector<waiting_request> take_if(
-        const std::function<bool(const waiting_request&)>& is_infeasible);
+        const std::function<bool(const waiting_request&)>& predicate);
 
     std::vector<waiting_request> take_all() {
         return take_if([](const waiting_request&) { return true; });
     }
 
     // Charges a member the time by which a request exceeded its expected cost; negative if shorter.
+    // Ignored if the queue has been empty since and the member has queued nothing again.
     void charge(std::string_view member, double difference);
 
     std::size_t size() const { return size_; }
