--- a/libraries/configuration/change_log.h
+++ b/libraries/configuration/change_log.h
@@ -30,15 +30,17 @@
 std::string with_change_log(std::string_view text, std::string_view previous,
                             const change_log_entry& newest);
 
-// Entries of `after` that follow the newest entry of `before`. All entries of `after` if the logs
-// share none, since more than max_change_log_entries changes may lie between them.
+// Entries of `after` that follow the newest entry of `before`. All entries of `after` if they
+// lack that entry, since more than max_change_log_entries changes may lie between them.
 std::vector<change_log_entry> changes_between(std::string_view before, std::string_view after);
 
 enum class write_outcome {
     not_written,               // the text is still the one that was to be replaced
     took_effect,               // and is in the store now
     took_effect_and_replaced,  // others have written after it
-    conflict,                  // another write replaced the expected version first
+    // The log has no entry of this write: another write replaced the expected version first, or
+    // at least max_change_log_entries writes have followed this one.
+    conflict,
 };
 
 // Outcome of a write with the entry `id` that was to replace version `expected`, if the store
--- a/libraries/configuration/json_source_map.h
+++ b/libraries/configuration/json_source_map.h
@@ -21,7 +21,8 @@
     bool is_parsable() const { return is_parsable_; }
     const std::vector<fault>& faults() const { return faults_; }
 
-    // Line on which the value at this path begins, or else the nearest enclosing value.
+    // Line of the key (or array element) at this path, otherwise of its nearest recorded ancestor;
+    // 0 if there is none.
     int line_of(std::string_view path) const;
 
 private:
