--- a/tests/configuration_sync_test.cpp
+++ b/tests/configuration_sync_test.cpp
@@ -167,8 +167,8 @@
     };
     receive_all_heartbeats(start);
     EXPECT_EQ(requests, (std::map<std::string, int>{{"b", 1}}));
-    // The response is lost: the request is repeated to the same peer; another peer is used only
-    // after that one has made no progress for a while.
+    // The response is lost: the request is repeated to the same peer. Each repetition renews the
+    // time-out, so another peer is used only once the first one's heartbeats and parts stop.
     receive_all_heartbeats(start + clock::duration{500});
     EXPECT_EQ(requests, (std::map<std::string, int>{{"b", 2}}));
 }
--- a/tests/ownership_failures_test.cpp
+++ b/tests/ownership_failures_test.cpp
@@ -13,69 +13,68 @@
 using wire::packet_kind;
 using namespace std::chrono_literals;
 
-// Two instances of which `first` owns target t, with one open flow on it.
+// One instance, initial_owner_, is started and owns target t, with one open flow on it. Tests start
+// the other one, hash_winner_, themselves.
 class ownership_failures : public ::testing::Test {
 protected:
     ownership_failures() {
-        zone_.start(first_);
+        zone_.start(initial_owner_);
         zone_.advance(13s);  // the fence of the first takeover is over
-        zone_.open(1, first_);
+        zone_.open(1, initial_owner_);
     }
 
-    // Starts `second`, which wins the rendezvous hashing, so that the target is handed over to it
+    // Starts the instance that wins the rendezvous hashing, so that the target is handed over to it
     // unless the test prevents that.
-    void start_second() { zone_.start(second_); }
+    void start_hash_winner() { zone_.start(hash_winner_); }
 
     zone_of_cores zone_{{"t"}};
-    std::string second_ = zone_of_cores::winner({"a", "b"}, "t");
-    std::string first_ = second_ == "a" ? "b" : "a";
+    std::string hash_winner_ = zone_of_cores::winner({"a", "b"}, "t");
+    std::string initial_owner_ = hash_winner_ == "a" ? "b" : "a";
 };
 
-// An owner is paused and another instance takes the target over, while a copy of a request waits in
-// the socket of the paused one. After it resumes, it handles the datagram before its first tick and
-// must not run the request a second time.
+// An owner is paused and another instance takes the target over. After it resumes, the paused one
+// receives a request before its first tick. It is no longer the owner and must not dispatch it.
 TEST_F(ownership_failures, resumed_owner_handles_a_datagram_before_its_tick) {
-    start_second();
+    start_hash_winner();
     zone_.advance(3s);
-    ASSERT_THAT(zone_.owners("t"), ElementsAre(second_));
-    zone_.pause(second_);
+    ASSERT_THAT(zone_.owners("t"), ElementsAre(hash_winner_));
+    zone_.pause(hash_winner_);
     zone_.advance(3s);
-    ASSERT_THAT(zone_.owners("t"), ElementsAre(first_));
-    zone_.resume(second_);
-    zone_.request(1, 7, second_);
+    ASSERT_THAT(zone_.owners("t"), ElementsAre(initial_owner_));
+    zone_.resume(hash_winner_);
+    zone_.request(1, 7, hash_winner_);
     EXPECT_EQ(0, zone_.max_runs());
-    EXPECT_THAT(zone_.owners("t"), ElementsAre(first_));
+    EXPECT_THAT(zone_.owners("t"), ElementsAre(initial_owner_));
 }
 
 // The same instance is paused twice, the second time while it waits for the claims of its peers.
 TEST_F(ownership_failures, owner_paused_twice) {
-    start_second();
+    start_hash_winner();
     zone_.advance(3s);
     for (int round = 0; round < 2; ++round) {
-        zone_.pause(second_);
+        zone_.pause(hash_winner_);
         zone_.advance(2'500ms);
-        zone_.resume(second_);
-        zone_.request(1, 7, second_);
+        zone_.resume(hash_winner_);
+        zone_.request(1, 7, hash_winner_);
         zone_.advance(1s);
-        EXPECT_THAT(zone_.owners("t"), ElementsAre(first_));
+        EXPECT_THAT(zone_.owners("t"), ElementsAre(initial_owner_));
     }
     zone_.advance(4s);
-    EXPECT_THAT(zone_.owners("t"), ElementsAre(second_));
+    EXPECT_THAT(zone_.owners("t"), ElementsAre(hash_winner_));
     EXPECT_LE(zone_.max_runs(), 1);
 }
 
-// During a planned hand-over the old owner has released the target and the new owner's first
-// heartbeat is lost, so for half a second no instance claims the target. Packets must not be
-// dropped meanwhile.
+// After a planned hand-over all heartbeats in which the new owner claims the target are lost, while
+// the former owner no longer claims it. Packets that reach the former owner must not be dropped.
 TEST_F(ownership_failures, packets_reach_the_new_owner_before_its_first_claim) {
-    start_second();
+    start_hash_winner();
     zone_.set_loss_filter([&](const auto& sent) {
-        return sent.sender == second_ && sent.content.__isset.beat &&
+        return sent.sender == hash_winner_ && sent.content.__isset.beat &&
                !sent.content.beat.owned.empty();
     });
     zone_.advance(2'600ms);
-    ASSERT_THAT(zone_.owners("t"), ElementsAre(second_));
-    zone_.request(1, 7, first_);
+    ASSERT_THAT(zone_.owners("t"), ElementsAre(hash_winner_));
+    zone_.request(1, 7, initial_owner_);
     zone_.deliver_all();
     EXPECT_EQ(1, zone_.max_runs());
 }
@@ -83,10 +82,10 @@
 // A request that waits for a slot while its target is handed over must be run by the new owner.
 TEST_F(ownership_failures, waiting_request_is_dispatched_by_the_new_owner) {
     for (std::int64_t number = 1; number <= 3; ++number) {
-        zone_.request(1, number, first_);
+        zone_.request(1, number, initial_owner_);
     }
     ASSERT_EQ(2U, zone_.target("t").running());
-    start_second();
+    start_hash_winner();
     zone_.advance(3s);
     zone_.answer(1, 1);
     zone_.advance(200ms);
@@ -97,10 +96,10 @@
 // The target answers the instance that dispatched the request, which has handed the target over
 // since. The caller must get the answer rather than "outcome unknown".
 TEST_F(ownership_failures, answer_to_the_former_owner_ends_the_request) {
-    zone_.request(1, 7, first_);
-    start_second();
+    zone_.request(1, 7, initial_owner_);
+    start_hash_winner();
     zone_.advance(3s);
-    ASSERT_THAT(zone_.owners("t"), ElementsAre(second_));
+    ASSERT_THAT(zone_.owners("t"), ElementsAre(hash_winner_));
     zone_.answer(1, 7);
     zone_.advance(12s);
     EXPECT_EQ(1, zone_.outcomes(1, 7, packet_kind::answer));
@@ -110,15 +109,15 @@
 // The receiver of a hand-over is killed before it has received all parts. If the sender had erased
 // the records, its flows would break, and its retransmissions would reach no instance.
 TEST_F(ownership_failures, receiver_fails_during_the_hand_over) {
-    start_second();
+    start_hash_winner();
     zone_.set_loss_filter([](const auto& sent) { return sent.content.__isset.handed_over; });
     zone_.advance(2'300ms);
-    zone_.kill(second_);
+    zone_.kill(hash_winner_);
     zone_.set_loss_filter({});
     zone_.advance(3s);
-    ASSERT_THAT(zone_.owners("t"), ElementsAre(first_));
-    EXPECT_EQ(1U, zone_.core(first_).state().flows.size());
-    zone_.request(1, 7, first_);
+    ASSERT_THAT(zone_.owners("t"), ElementsAre(initial_owner_));
+    EXPECT_EQ(1U, zone_.core(initial_owner_).state().flows.size());
+    zone_.request(1, 7, initial_owner_);
     EXPECT_EQ(0, zone_.max_runs()) << "the receiver could have run it";
 }
 
@@ -126,78 +125,79 @@
 // its earlier incarnation and has lost it, so the hand-over would never complete.
 TEST_F(ownership_failures, receiver_restarts_during_the_hand_over) {
     for (std::int64_t flow = 2; flow <= 400; ++flow) {
-        zone_.open(flow, first_);
+        zone_.open(flow, initial_owner_);
     }
-    start_second();
+    start_hash_winner();
     zone_.set_loss_filter([](const auto& sent) {
         return sent.content.__isset.handed_over && sent.content.handed_over.part == 1;
     });
     zone_.advance(2'300ms);
     zone_.set_loss_filter({});
-    zone_.kill(second_);
+    zone_.kill(hash_winner_);
     zone_.advance(500ms);
-    start_second();
+    start_hash_winner();
     zone_.advance(6s);
-    EXPECT_THAT(zone_.owners("t"), ElementsAre(second_));
-    EXPECT_EQ(400U, zone_.core(second_).state().flows.size());
+    EXPECT_THAT(zone_.owners("t"), ElementsAre(hash_winner_));
+    EXPECT_EQ(400U, zone_.core(hash_winner_).state().flows.size());
 }
 
-// The owner is paused during a hand-over, when its successor has received only some of the records.
-// After it resumes, the remaining parts and the acknowledgements cross.
+// The owner is paused during a hand-over, before the successor has received any part, and the
+// successor takes the target over. After the former owner resumes, it drops the transfer at its
+// first event, and the successor must stay the only owner.
 TEST_F(ownership_failures, owner_paused_during_the_hand_over) {
-    start_second();
+    start_hash_winner();
     zone_.set_loss_filter([](const auto& sent) { return sent.content.__isset.handed_over; });
     zone_.advance(2'200ms);
     zone_.set_loss_filter({});
-    zone_.pause(first_);
+    zone_.pause(initial_owner_);
     zone_.advance(3s);
-    EXPECT_THAT(zone_.owners("t"), ElementsAre(second_));
-    zone_.resume(first_);
+    EXPECT_THAT(zone_.owners("t"), ElementsAre(hash_winner_));
+    zone_.resume(initial_owner_);
     zone_.deliver_all();
-    EXPECT_THAT(zone_.owners("t"), ElementsAre(second_));
+    EXPECT_THAT(zone_.owners("t"), ElementsAre(hash_winner_));
     zone_.advance(3s);
-    EXPECT_THAT(zone_.owners("t"), ElementsAre(second_));
+    EXPECT_THAT(zone_.owners("t"), ElementsAre(hash_winner_));
 }
 
 // One instance receives the messages of the other, but its own are lost. It is declared dead and a
 // successor takes over; if it kept dispatching, requests would run twice.
 TEST_F(ownership_failures, owner_whose_messages_are_lost_stops_before_its_successor_starts) {
-    start_second();
+    start_hash_winner();
     zone_.advance(3s);
-    zone_.set_loss_filter([&](const auto& sent) { return sent.sender == second_; });
+    zone_.set_loss_filter([&](const auto& sent) { return sent.sender == hash_winner_; });
     for (int step = 0; step < 80; ++step) {
         zone_.advance(100ms);
         EXPECT_THAT(zone_.owners("t"), SizeIs(::testing::Le(1U)));
     }
-    EXPECT_THAT(zone_.owners("t"), ElementsAre(first_));
+    EXPECT_THAT(zone_.owners("t"), ElementsAre(initial_owner_));
     zone_.set_loss_filter({});
     zone_.advance(3s);
-    EXPECT_THAT(zone_.owners("t"), ElementsAre(second_));
+    EXPECT_THAT(zone_.owners("t"), ElementsAre(hash_winner_));
 }
 
 // Both instances claim one target after a network partition. When it ends, one of them gives the
 // target up and the other receives the records of the flows that only the first had opened.
 TEST_F(ownership_failures, conflicting_claims_are_resolved_and_records_are_merged) {
-    start_second();
+    start_hash_winner();
     zone_.advance(3s);
     zone_.set_loss_filter([](const auto&) { return true; });
     zone_.advance(4s);
-    zone_.open(2, first_);
-    zone_.open(3, second_);
+    zone_.open(2, initial_owner_);
+    zone_.open(3, hash_winner_);
     zone_.set_loss_filter({});
     zone_.advance(4s);
-    ASSERT_THAT(zone_.owners("t"), ElementsAre(second_));
-    EXPECT_EQ(3U, zone_.core(second_).state().flows.size());
-    EXPECT_EQ(3, zone_.core(second_).state().loads.at("t").connections);
+    ASSERT_THAT(zone_.owners("t"), ElementsAre(hash_winner_));
+    EXPECT_EQ(3U, zone_.core(hash_winner_).state().flows.size());
+    EXPECT_EQ(3, zone_.core(hash_winner_).state().loads.at("t").connections);
 }
 
 // A heartbeat from before a hand-over arrives late and must not restore the old claim.
 TEST_F(ownership_failures, reordered_heartbeat_is_ignored) {
     std::vector<zone_of_cores::delivery> late;
-    start_second();
+    start_hash_winner();
     zone_.set_loss_filter([&](const auto& sent) {
-        const bool is_old_claim =
-            sent.sender == first_ && sent.content.__isset.beat && !sent.content.beat.owned.empty();
+        const bool is_old_claim = sent.sender == initial_owner_ && sent.content.__isset.beat &&
+                                  !sent.content.beat.owned.empty();
         if (is_old_claim) {
             late.push_back(sent);
         }
@@ -205,7 +205,7 @@
     });
     zone_.advance(3s);
     ASSERT_FALSE(late.empty());
-    auto peers = zone_.core(second_).state().peers;
+    auto peers = zone_.core(hash_winner_).state().peers;
     EXPECT_FALSE(peers.accept_message(late.front().content, zone_.now()));
     EXPECT_EQ(nullptr, peers.claim_of("t", zone_.now()).claimant);
 }
@@ -213,33 +213,33 @@
 // An instance restarts on a host whose clock was set back, so its incarnation is lower than before.
 // If peers ignored it forever, its targets would have no owner.
 TEST_F(ownership_failures, restart_with_a_clock_that_was_set_back) {
-    start_second();
+    start_hash_winner();
     zone_.advance(3s);
-    zone_.kill(second_);
+    zone_.kill(hash_winner_);
     zone_.advance(3s);
-    zone_.data(1, first_);
-    zone_.start(second_, -60'000);
+    zone_.data(1, initial_owner_);
+    zone_.start(hash_winner_, -60'000);
     zone_.advance(4s);
-    EXPECT_THAT(zone_.owners("t"), ElementsAre(second_));
-    EXPECT_EQ(1U, zone_.core(second_).state().flows.size());
+    EXPECT_THAT(zone_.owners("t"), ElementsAre(hash_winner_));
+    EXPECT_EQ(1U, zone_.core(hash_winner_).state().flows.size());
 }
 
-// A target is handed over by an instance whose clock is behind that of the instance that handed it
-// over before. If the receiver took the transfer for an outdated one but acknowledged it, the
-// target would be lost.
+// Epochs must not depend on clocks. An owner restarts with its clock an hour behind and then hands
+// the target over. The receiver must accept it: if it took the transfer for an outdated one but
+// acknowledged it, the target would be lost.
 TEST_F(ownership_failures, hand_overs_from_instances_with_different_clocks) {
-    zone_.start(second_);
+    zone_.start(hash_winner_);
     zone_.advance(3s);
-    zone_.retire(second_, true);
+    zone_.retire(hash_winner_, true);  // hands the target over to initial_owner_
     zone_.advance(1s);
-    ASSERT_THAT(zone_.owners("t"), ElementsAre(first_));
-    zone_.kill(first_);
-    zone_.start(first_, -3'600'000);
+    ASSERT_THAT(zone_.owners("t"), ElementsAre(initial_owner_));
+    zone_.kill(initial_owner_);
+    zone_.start(initial_owner_, -3'600'000);
     zone_.advance(4s);
-    zone_.open(2, first_);
-    zone_.retire(second_, false);
+    zone_.open(2, initial_owner_);
+    zone_.retire(hash_winner_, false);  // is eligible again and requests the target
     zone_.advance(4s);
-    EXPECT_THAT(zone_.owners("t"), ElementsAre(second_));
+    EXPECT_THAT(zone_.owners("t"), ElementsAre(hash_winner_));
 }
 
 // Operators remove a target that still has open flows. Its owner must remain and keep their
@@ -269,14 +269,14 @@
 // treated the flows as completely known while requests of the failed owner still run, a request
 // could run twice.
 TEST_F(ownership_failures, takeover_fence_is_handed_over_with_the_target) {
-    zone_.kill(first_);
-    zone_.start(first_);
+    zone_.kill(initial_owner_);
+    zone_.start(initial_owner_);
     zone_.advance(3s);
-    const auto fence = zone_.core(first_).state().ownership.find("t")->fence_until;
-    start_second();
+    const auto fence = zone_.core(initial_owner_).state().ownership.find("t")->fence_until;
+    start_hash_winner();
     zone_.advance(3s);
-    ASSERT_THAT(zone_.owners("t"), ElementsAre(second_));
-    const auto* owned = zone_.core(second_).state().ownership.find("t");
+    ASSERT_THAT(zone_.owners("t"), ElementsAre(hash_winner_));
+    const auto* owned = zone_.core(hash_winner_).state().ownership.find("t");
     EXPECT_EQ(fence, owned->fence_until);
 }
 
@@ -320,7 +320,7 @@
     EXPECT_EQ(1, zone.max_runs());
 }
 
-// A leaving instance without a peer to hand its targets to stops after leave_limit, so that a
+// A leaving instance without a peer to hand its targets to stops after leave_timeout, so that a
 // rolling restart doesn't hang.
 TEST(rolling_restart, leave_without_a_receiver_ends) {
     zone_of_cores zone{{"t"}};
