--- a/services/bramleyctl/commands.cpp
+++ b/services/bramleyctl/commands.cpp
@@ -24,11 +24,11 @@
 
 enum class exit_status {
     success = 0,
-    usage = 2,
+    usage = 2,  // unknown command; other usage errors of these commands exit with rejected
     rejected = 3,
     conflict = 4,
     unavailable = 5,
-    not_in_force = 6  // some instance does not apply the version yet
+    not_in_force = 6  // the version is not in force on every instance yet
 };
 
 int exit_code(exit_status status) {
@@ -94,7 +94,7 @@
         }
         const auto& before = *current;
         // A file that was exported before a colleague's change would silently revert that change
-        // when it is applied. The change trail that the file still contains shows which changes it
+        // when it is applied. The change log that the file still contains shows which changes it
         // predates, so the command reports a conflict instead.
         const auto conflicting_changes = configuration::changes_between(*text, before.value);
         if (!configuration::change_log_of(*text).empty() && !conflicting_changes.empty()) {
@@ -125,6 +125,7 @@
 
     int show() {
         const auto found = read_text();
+        // The read failed, or the key is absent (version 0).
         if (!found || found->version == 0) {
             return report_error(result_code::store_unavailable, "no configuration could be read");
         }
@@ -138,7 +139,7 @@
         return exit_code(exit_status::success);
     }
 
-    // zone out|in NAME, target drain|undrain NAME, instance retire NAME.
+    // zone out|in NAME, target drain|undrain NAME, instance retire|restore NAME.
     int change_state() {
         struct change {
             std::string_view kind;
@@ -160,7 +161,8 @@
         if (requested == changes.end() || argument(2).empty()) {
             return report_error(result_code::usage, "see bramleyctl --help");
         }
-        // If a concurrent change is written first, this one is applied again on top of it.
+        // If a concurrent change is written first, this one is applied again on top of it. write()
+        // prints each such conflict, also when a later attempt succeeds.
         constexpr int max_attempts = 10;
         for (int attempt = 1;; ++attempt) {
             const auto found = read_text();
@@ -189,13 +191,13 @@
                          "the store did not answer; its version is unknown");
         }
         const auto version = is_store_reachable ? current->version : 0;
-        const auto rollout_status = options_.should_wait ? wait_for_rollout(version)
-                                                         : show_instances(version, std::nullopt);
-        return is_store_reachable ? rollout_status : exit_code(exit_status::unavailable);
+        const auto in_force_status = options_.should_wait ? wait_until_in_force(version)
+                                                          : show_instances(version, std::nullopt);
+        return is_store_reachable ? in_force_status : exit_code(exit_status::unavailable);
     }
 
 private:
-    // Returns nothing when the store did not answer.
+    // Returns nothing when the read failed, and version 0 when the key is absent.
     std::optional<stored_text> read_text() {
         const auto response = session_.read(configuration::store_key);
         const auto* lookup = std::get_if<store::lookup_result>(&response);
@@ -238,7 +240,8 @@
             return false;
         }
         // The platform's list defines the instances. The configuration only has an entry for those
-        // whose state was set.
+        // whose state was set. The name is not looked up in that list, so a mistyped name is
+        // accepted and gets an entry.
         root[list].push_back({{"name", name}, {"state", state}});
         return true;
     }
@@ -257,6 +260,8 @@
         }
     }
 
+    // Printed for each attempt that meets a conflict. "Nothing was written" holds for this attempt
+    // only: change_state() retries, and the command may still succeed.
     static int report_conflict(
         std::span<const configuration::change_log_entry> conflicting_changes) {
         const int status = report_error(result_code::version_conflict,
@@ -267,7 +272,7 @@
         return status;
     }
 
-    // Each attempt gets a unique id, by which it can be found in the change trail later.
+    // Each attempt gets a unique id, by which its entry can be found in the change log later.
     static std::string new_change_id() {
         std::random_device source;
         const auto high = static_cast<std::uint64_t>(source());
@@ -279,17 +284,17 @@
     }
 
     int write(const std::string& text, const stored_text& before, const std::string& description) {
-        const configuration::change_log_entry mark{new_change_id(), description};
-        const auto marked = configuration::with_change_log(text, before.value, mark);
-        const auto parsed = configuration::parse_configuration(marked, before.version + 1);
+        const configuration::change_log_entry newest_entry{new_change_id(), description};
+        const auto updated = configuration::with_change_log(text, before.value, newest_entry);
+        const auto parsed = configuration::parse_configuration(updated, before.version + 1);
         if (const auto* faults = std::get_if<std::vector<configuration::fault>>(&parsed)) {
             print_faults("configuration", *faults);
             return exit_code(exit_status::rejected);
         }
         const auto lines =
             differences_from(before.value, std::get<configuration::configuration>(parsed));
-        const auto result =
-            session_.compare_and_swap(configuration::store_key, before.version, marked, mark.id);
+        const auto result = session_.compare_and_swap(configuration::store_key, before.version,
+                                                      updated, newest_entry.id);
         if (result == std::variant<write_result, result_code>{result_code::version_conflict}) {
             const auto current = read_text();
             return report_conflict(configuration::changes_between(
@@ -298,8 +303,8 @@
         if (const auto* code = std::get_if<result_code>(&result)) {
             return report_error(
                 *code,
-                R"(the store was silent until the timeout; "bramleyctl show" shows whether change ")" +
-                    mark.id + "\" is in effect");
+                R"(it could not be determined before the timeout whether the change took effect; "bramleyctl show" shows whether change ")" +
+                    newest_entry.id + "\" is in the text");
         }
         const auto& written = std::get<write_result>(result);
         if (options_.is_json) {
@@ -311,9 +316,9 @@
         } else {
             print_lines(lines);
             std::printf("version %lld%s\n", static_cast<long long>(written.version),
-                        written.is_replaced ? " (in effect, and changed by others since)" : "");
+                        written.is_replaced ? " (written, and replaced by others since)" : "");
         }
-        return options_.should_wait ? wait_for_rollout(written.version)
+        return options_.should_wait ? wait_until_in_force(written.version)
                                     : exit_code(exit_status::success);
     }
 
@@ -321,41 +326,43 @@
     int show_instances(std::int64_t version, std::optional<clock::duration> wait_duration) {
         const auto instances = query_instances(session_, options_.instance_list_url);
         if (!instances) {
-            return report_error(result_code::store_unavailable, "the instance list did not answer");
+            return report_error(result_code::store_unavailable,
+                                "the instance list could not be read");
         }
-        const auto outdated = outdated_instances(*instances, version);
+        const auto pending = instances_not_in_force(*instances, version);
         if (options_.is_json) {
-            json root{{"version", version}, {"late", outdated}, {"instances", to_json(*instances)}};
+            json root{{"version", version}, {"late", pending}, {"instances", to_json(*instances)}};
             if (wait_duration) {
                 root["waited_ms"] = wait_duration->count();
             }
             std::printf("%s\n", root.dump().c_str());
-            return exit_code(outdated.empty() ? exit_status::success : exit_status::not_in_force);
+            return exit_code(pending.empty() ? exit_status::success : exit_status::not_in_force);
         }
         std::printf("%s", to_table(*instances).c_str());
         const auto elapsed =
             wait_duration ? " after " + std::to_string(wait_duration->count()) + " ms" : "";
-        if (outdated.empty()) {
+        if (pending.empty()) {
             std::printf("version %lld is in force on all instances%s\n",
                         static_cast<long long>(version), elapsed.c_str());
             return exit_code(exit_status::success);
         }
         std::printf("version %lld is not in force%s on:", static_cast<long long>(version),
                     elapsed.c_str());
-        for (const auto& each : outdated) {
+        for (const auto& each : pending) {
             std::printf(" %s", each.c_str());
         }
         std::printf("\n");
         return exit_code(exit_status::not_in_force);
     }
 
-    int wait_for_rollout(std::int64_t version) {
+    int wait_until_in_force(std::int64_t version) {
         const auto start = clock::now();
         const auto deadline = start + clock::duration{options_.timeout_ms};
         while (true) {
             const auto instances = query_instances(session_, options_.instance_list_url);
-            const bool is_rolled_out = instances && outdated_instances(*instances, version).empty();
-            if (is_rolled_out || clock::now() >= deadline) {
+            const bool is_in_force =
+                instances && instances_not_in_force(*instances, version).empty();
+            if (is_in_force || clock::now() >= deadline) {
                 return show_instances(version, clock::now() - start);
             }
             constexpr std::chrono::milliseconds poll_interval{200};
--- a/services/bramleyctl/fleet_status.cpp
+++ b/services/bramleyctl/fleet_status.cpp
@@ -53,15 +53,15 @@
     return result;
 }
 
-std::vector<std::string> outdated_instances(const std::vector<instance_status>& instances,
-                                            std::int64_t version) {
-    std::vector<std::string> outdated;
+std::vector<std::string> instances_not_in_force(const std::vector<instance_status>& instances,
+                                                std::int64_t version) {
+    std::vector<std::string> pending;
     for (const auto& each : instances) {
         if (!each.is_leaving && each.version < version) {
-            outdated.push_back(each.is_reachable ? each.name : each.name + " (unreachable)");
+            pending.push_back(each.is_reachable ? each.name : each.name + " (unreachable)");
         }
     }
-    return outdated;
+    return pending;
 }
 
 nlohmann::ordered_json to_json(const std::vector<instance_status>& instances) {
--- a/services/bramleyctl/fleet_status.h
+++ b/services/bramleyctl/fleet_status.h
@@ -31,11 +31,11 @@
 std::optional<std::vector<instance_status>> query_instances(store_session& session,
                                                             const std::string& list_url);
 
-// Returns the names of the instances that don't have `version` yet. Leaving instances are excluded,
-// and those that were removed from the list aren't in `instances`: waiting for them would never
-// end.
-std::vector<std::string> outdated_instances(const std::vector<instance_status>& instances,
-                                            std::int64_t version);
+// Returns the names of the instances on which `version` is not in force yet. Leaving instances are
+// excluded, and those that were removed from the list aren't in `instances`: waiting for them would
+// never end.
+std::vector<std::string> instances_not_in_force(const std::vector<instance_status>& instances,
+                                                std::int64_t version);
 
 nlohmann::ordered_json to_json(const std::vector<instance_status>& instances);
 std::string to_table(const std::vector<instance_status>& instances);
--- a/services/bramleyctl/flow_timeline.cpp
+++ b/services/bramleyctl/flow_timeline.cpp
@@ -30,7 +30,7 @@
     }
     return text + (record.text("decision") == "refuse" ? " refused: " : " dropped: ") +
            field(record, "reason") + " (route " + field(record, "route") + ", version " +
-           field(record, "version") + ", confirmed " + field(record, "confirmed_ms_ago") +
+           field(record, "version") + ", state confirmed " + field(record, "confirmed_ms_ago") +
            " ms before)";
 }
 
@@ -79,13 +79,14 @@
 constexpr std::array explanations{
     explanation{
         "unknown_route",
-        "No route of the version in force had this address: it was never there, or dropped."},
+        "No route of the version in force had this address: it was never there, or removed."},
     explanation{
         "queue_full",
         "Every target had as many requests open as it answers in time: too much load, or slow "
         "targets."},
-    explanation{"no_eligible_target",
-                "No target could take flows: all draining, gone, cold, or in zones that are out."},
+    explanation{
+        "no_eligible_target",
+        "No target could take flows: all draining, gone, cold, or in zones taken out of service."},
     explanation{"not_ready", "The instance had just started and held no configuration yet."},
     explanation{
         "unknown_token",
--- a/services/bramleyctl/flow_timeline.h
+++ b/services/bramleyctl/flow_timeline.h
@@ -1,7 +1,10 @@
 // Reconstructs the timeline of one flow from the logs of the instances that handled its packets.
 //
+// A flow is selected by its caller's ip:port alone, so flows that use the same port one after the
+// other are merged into one timeline.
+//
 // The lines may come from several instances, in any order, and may be incomplete: instances omit
-// lines under load and log how many. The timeline lists these as possible gaps.
+// lines under load and log how many. The timeline lists these counts as possible gaps.
 #pragma once
 
 #include <span>
@@ -25,7 +28,9 @@
     std::vector<timeline_step> context;  // events of its instances and targets near that time
     std::string outcome;  // a result code's name, "late", "unanswered", "no_fault" or "not_found"
     std::string cause;    // one or two sentences
-    std::vector<std::string> gaps;  // log lines that are known to be missing
+    // Counts of lines that instances omitted in the time range of the steps and the context, or in
+    // the whole log if no line names the caller. Some of these lines may be of this flow.
+    std::vector<std::string> gaps;
 };
 
 // `caller` is the ip:port of the flow's caller, as it appears in the log lines.
--- a/services/bramleyctl/store_session.h
+++ b/services/bramleyctl/store_session.h
@@ -24,20 +24,21 @@
 
 class store_session {
 public:
-    // Every call fails unless `address` is a numeric ip:port.
+    // `address` is the store's; read() and compare_and_swap() fail unless it is a numeric ip:port.
     store_session(std::string_view address, clock::duration timeout);
 
     store::outcome<store::lookup_result> read(std::string_view key);
 
     // Writes `value` if the key still has version `expected_version` (0: must not exist). A value's
-    // version is the store's revision of its last write. `change_id` is the id of the newest change
-    // mark in `value` (see configuration/change_trail.h).
+    // version is the store's revision of its last write. `change_id` is the id of the newest entry
+    // of the change log in `value` (see configuration/change_log.h).
     //
     // A lost response leaves it open whether the write took effect. The write is then retried,
-    // which the compare-and-swap makes idempotent, and the stored value is searched for the change
-    // mark. The mark tells apart a write that took effect and was replaced later from one that lost
-    // to a concurrent write; the latter returns version_conflict. Returns write_in_doubt when the
-    // store does not answer until the timeout.
+    // which the compare-and-swap makes idempotent, and the change log of the stored value is
+    // searched for the entry. The entry tells apart a write that took effect and was replaced later
+    // from one that lost to a concurrent write; the latter returns version_conflict. Returns
+    // write_in_doubt when it could not be determined before the timeout whether the write took
+    // effect.
     std::variant<write_result, result_code> compare_and_swap(std::string_view key,
                                                              std::int64_t expected_version,
                                                              const std::string& value,
--- a/tests/configuration_status_test.cpp
+++ b/tests/configuration_status_test.cpp
@@ -15,9 +15,9 @@
     instances[1].name = "leaving";
     instances[1].is_leaving = true;
     instances[2].name = "dead";
-    EXPECT_EQ(ctl::outdated_instances(instances, 7),
+    EXPECT_EQ(ctl::instances_not_in_force(instances, 7),
               (std::vector<std::string>{"dead (unreachable)"}));
-    EXPECT_EQ(ctl::outdated_instances(instances, 8),
+    EXPECT_EQ(ctl::instances_not_in_force(instances, 8),
               (std::vector<std::string>{"live", "dead (unreachable)"}));
 }
 
--- a/tests/store_write_test.cpp
+++ b/tests/store_write_test.cpp
@@ -130,16 +130,16 @@
     EXPECT_LE(writes, 6);
 }
 
-TEST(change_log, keeps_the_newest_marks_and_the_text) {
+TEST(change_log, keeps_the_newest_entries_and_the_text) {
     std::string text = "{\n  // a comment of the operators\n}\n";
     const auto bare = text;
     for (int i = 0; i < 40; ++i) {
         text =
             with_change_log(text, text, {"id" + std::to_string(i), "change\n" + std::to_string(i)});
     }
-    const auto marks = configuration::change_log_of(text);
-    ASSERT_EQ(marks.size(), configuration::max_change_log_entries);
-    EXPECT_EQ(marks.back(), (change_log_entry{"id39", "change 39"}));
+    const auto entries = configuration::change_log_of(text);
+    ASSERT_EQ(entries.size(), configuration::max_change_log_entries);
+    EXPECT_EQ(entries.back(), (change_log_entry{"id39", "change 39"}));
     EXPECT_EQ(configuration::without_change_log(text), bare);
 }
 
