--- a/libraries/net/http_client.cpp
+++ b/libraries/net/http_client.cpp
@@ -15,6 +15,8 @@
 // third larger.
 constexpr std::size_t max_response_size = std::size_t{4} * 1024 * 1024;
 // After a longer idle time, a NAT or firewall on the path may have dropped the connection's state.
+// Such a connection is no longer selected for a call. It stays open until the server closes it or
+// it fails.
 constexpr clock::duration max_idle_time{10'000};
 
 std::string format_request_head(const http_call& call) {
@@ -60,7 +62,9 @@
         timeout_timer_.set<connection, &connection::on_timeout>(this);
         timeout_timer_.start(static_cast<double>(call_.timeout.count()) / milliseconds_per_second);
         if (!is_reused_ && !connect()) {
-            // The callback must not run before call() has returned.
+            // Reports the failure from the event loop, so that the callback doesn't run before
+            // call() has returned. This doesn't hold for a reused connection: if write() fails
+            // below and the request isn't a GET, fail() runs the callback at once.
             timeout_timer_.stop();
             timeout_timer_.start(0.0);
             return;
@@ -121,7 +125,9 @@
     }
 
     void on_timeout(ev::timer& /*watcher*/, int /*events*/) {
-        is_reused_ = false;  // prevents a retry: the timeout covers the whole call
+        // Prevents a retry after a timeout. The timeout is per attempt: a GET that fail() retries
+        // gets the full timeout again.
+        is_reused_ = false;
         fail();
     }
 
--- a/libraries/net/http_client.h
+++ b/libraries/net/http_client.h
@@ -15,8 +15,10 @@
 namespace bramleytrack::net {
 
 struct http_result {
-    int status =
-        0;  // 0: no response (refused, timed out, reset); the request may have taken effect
+    // 0: no complete, valid response: connection refused, reset or closed early, timed out,
+    // malformed or oversized response, or an invalid URL. Unless the request was never sent, it may
+    // have taken effect.
+    int status = 0;
     std::string body;
 };
 
@@ -27,7 +29,9 @@
     sockaddr_in address{};
     std::string path;  // including the query string
     std::string body;
-    clock::duration timeout{0};  // from the call to the complete response
+    // From the start of an attempt to the complete response. A GET may be attempted twice, and the
+    // second attempt has the full timeout again.
+    clock::duration timeout{0};
 };
 
 class http_client {
@@ -37,10 +41,12 @@
     http_client(const http_client&) = delete;
     http_client& operator=(const http_client&) = delete;
 
+    // Usually calls `done` from the event loop, after call() has returned. Calls it before
+    // returning when a request other than a GET can't be written to a reused connection.
     void call(http_call request, http_callback done);
 
-    // Accept URLs of the form http://ip:port/path; for any other `done` is called at once with
-    // status 0.
+    // Accept URLs of the form http://ip:port/path. For any other URL, `done` is called with status
+    // 0 before the function returns.
     void get(std::string_view url, clock::duration timeout, http_callback done);
     void put(std::string_view url, std::string body, clock::duration timeout, http_callback done);
 
