--- a/libraries/net/packet_socket.cpp
+++ b/libraries/net/packet_socket.cpp
@@ -8,8 +8,9 @@
 namespace bramleytrack::net {
 namespace {
 
-// Holds 250 ms of traffic at 35,000 packets per second while the event loop is busy.
-constexpr int socket_buffer_size = 4 * 1024 * 1024;
+// Holds 250 ms of traffic while the event loop is busy, at 35,000 packets of about 480 bytes per
+// second. The kernel caps the size at net.core.rmem_max without reporting an error.
+constexpr int receive_buffer_size = 4 * 1024 * 1024;
 // Bounds the work per wake-up, so that timers and readiness checks aren't delayed under a flood.
 constexpr int max_batches_per_wakeup = 4;
 
@@ -27,8 +28,8 @@
       send_iovecs_(batch_size),
       send_headers_(batch_size),
       destinations_(batch_size) {
-    setsockopt(socket_.get(), SOL_SOCKET, SO_RCVBUF, &socket_buffer_size,
-               sizeof(socket_buffer_size));
+    setsockopt(socket_.get(), SOL_SOCKET, SO_RCVBUF, &receive_buffer_size,
+               sizeof(receive_buffer_size));
     if (bind(socket_.get(), reinterpret_cast<const sockaddr*>(&address), sizeof(address)) != 0) {
         throw std::system_error(errno, std::generic_category(), "bind");
     }
--- a/libraries/net/packet_socket.h
+++ b/libraries/net/packet_socket.h
@@ -23,7 +23,9 @@
 public:
     using receive_callback = std::function<void(std::span<const std::uint8_t> datagram)>;
 
-    // The largest packet with its headers and the encapsulation for the way to a target.
+    // The size of each receive and send buffer: holds the largest packet with its headers and the
+    // encapsulation that is added when it is forwarded to a target. A longer datagram is truncated
+    // to this size when it is received, and the callback gets the truncated datagram.
     static constexpr std::size_t max_packet_size = 2048;
     static constexpr std::size_t batch_size = 64;
 
@@ -43,8 +45,8 @@
     // The buffer to write the next datagram into; queue() then queues its first `size` bytes.
     std::span<std::uint8_t> next_buffer();
     void queue(std::uint32_t address, std::uint16_t port, std::size_t size);
-    // Sends all queued datagrams. The socket calls it after each received batch; callers that queue
-    // datagrams at other times must call it themselves.
+    // Sends all queued datagrams. on_readable() calls it after each received batch; code that
+    // queues datagrams at other times, for example in a timer callback, must call it afterwards.
     void flush();
 
     std::int64_t dropped_sends() const { return dropped_sends_; }
