--- a/libraries/base/event_log.h
+++ b/libraries/base/event_log.h
@@ -28,8 +28,11 @@
     virtual ~event_log() = default;
 
     // Whether the rate limit of this kind admits a line now. Called before the line is formatted,
-    // so that a suppressed line costs nothing. Suppressed lines are counted, and the count is
-    // logged when a later line of the same kind is admitted.
+    // so that a suppressed line costs nothing. When it returns true, the line has been counted
+    // against the limit, so the caller should write it.
+    //
+    // Suppressed lines are counted. The count is logged, by this function, with the next admitted
+    // line of the same kind that comes at least one second after the last such report.
     virtual bool admits(log_kind kind, clock::time_point now) = 0;
     virtual void write(const log_event& event) = 0;
 };
--- a/libraries/observability/log.cpp
+++ b/libraries/observability/log.cpp
@@ -71,6 +71,8 @@
 }
 
 struct kind_rate_limit {
+    // The name in log lines. It is part of the log format and may differ from the enumerator:
+    // `belief` is log_kind::state_change.
     std::string_view name;
     double lines_per_second;
     double burst;
@@ -126,6 +128,7 @@
         ++state.suppressed_lines;
         return false;
     }
+    // The admitted line consumes its token here. The report below is not counted against the limit.
     state.tokens.consume(1);
     if (state.suppressed_lines > 0 && now - state.reported_at >= report_interval) {
         log_line(log_event{"lines_left_out"}
--- a/libraries/observability/log.h
+++ b/libraries/observability/log.h
@@ -1,7 +1,8 @@
 // Logging to standard output: one event per line, as key=value pairs.
 //
-// Writing never blocks: while the reader of the output is slow, lines are kept in a bounded buffer.
-// Lines that don't fit into it are dropped and counted.
+// Writing to a pipe never blocks: while the reader of the pipe is slow, lines are kept in a bounded
+// buffer. Lines that don't fit into it are dropped and counted. A write to another kind of output,
+// such as a file on a slow disk, can block.
 #pragma once
 
 #include <array>
