--- a/libraries/settings/settings.h
+++ b/libraries/settings/settings.h
@@ -14,7 +14,7 @@
     std::string name;
     std::string zone;
     std::string peer_address;       // UDP, messages from other instances
-    std::string caller_address;     // UDP, callers' packets from the fabric
+    std::string caller_address;     // UDP, callers' packets from the routers in front (the fabric)
     std::string target_address;     // UDP, targets' responses
     std::string admin_address;      // HTTP: /metrics, /status
     std::string store_address;      // ip:port of the platform's store
--- a/libraries/settings/steering_settings.cpp
+++ b/libraries/settings/steering_settings.cpp
@@ -23,6 +23,7 @@
     std::string_view allowed;
 };
 
+// is_name() also rejects quotes, backslashes, slashes, tabs and newlines.
 constexpr std::string_view name_allowed = "a name of at most 64 characters without spaces";
 constexpr std::string_view address_allowed = "a numeric ip:port such as 10.0.0.1:7000";
 
@@ -147,6 +148,7 @@
         }
     }
     names.emplace_back(zones_key);
+    // The same message is shown when `zones` is well-formed but lacks this instance's own zone.
     if (!read_zones(root, result)) {
         faults.push_back(
             invalid_value(root, zones_key, "an object that names the region of each zone"));
--- a/libraries/settings/steering_settings.h
+++ b/libraries/settings/steering_settings.h
@@ -1,4 +1,7 @@
 // Settings of an instance that routes by token: JSON with comments.
+//
+// A token is the 32 bits in a flow's packets that name the flow's target. Targets send it to
+// callers, and callers return it in each later packet.
 #pragma once
 
 #include <functional>
@@ -17,18 +20,24 @@
     std::string name;
     std::string zone;
     std::map<std::string, std::string, std::less<>> zones;  // the region of each availability zone
-    std::string packet_address;     // UDP, packets of callers from the fabric
+    // UDP, packets of callers from the fabric: the routers in front of the instances, which may
+    // hand any packet to any instance.
+    std::string packet_address;
     std::string readiness_address;  // HTTP, any path: 200 while this instance accepts new flows
     std::string metrics_address;    // HTTP: /metrics
-    std::string peer_address;       // UDP, digests of other instances
-    std::string pull_address;       // HTTP, other instances fetch store entries that they lack
-    // Addresses at which peers reach the two above; the same as those unless they are set.
+    // UDP, messages from peers: digests (small messages that report the sender's store revision,
+    // target loads and dead targets), and requests and results of indirect probes.
+    std::string peer_address;
+    std::string pull_address;  // HTTP, peers fetch store entries that they lack
+    // Addresses at which peers reach peer_address and pull_address; equal to these unless set.
     std::string advertised_peer_address;
     std::string advertised_pull_address;
     std::vector<std::string> seeds;  // pull addresses of some instances, which may be stale
     std::string store_address;       // HTTP, the platform's store
     std::string fleet_passphrase;    // authenticates peers
     clock::duration stop_grace{0};   // time between SIGTERM and SIGKILL
+    // The longest time for which a flow can continue after its target's entry was removed from the
+    // store.
     clock::duration flow_lifetime{0};
     // Unknown keys. The platform may add a field to its template before the program supports it, so
     // an unknown key is reported and otherwise ignored.
